--- a/internal/core/fleet/config.go
+++ b/internal/core/fleet/config.go
@@ -10,63 +10,63 @@
 // Config is one version of what operators order.
 type Config struct {
 	// Version grows with each accepted change.
-	Version uint64
-	Routes  []Route
+	Version uint64  `json:"Version"`
+	Routes  []Route `json:"Routes"`
 	// Services are the names of services that endpoints may belong to.
-	Services []Service
-	Limits   Limits
+	Services []Service `json:"Services"`
+	Limits   Limits    `json:"Limits"`
 }
 
 // Service is a group of endpoints that do the same work.
 type Service struct {
-	Name string
+	Name string `json:"Name"`
 	// HealthPath is where an endpoint tells its own health.
-	HealthPath string
+	HealthPath string `json:"HealthPath"`
 	// Connections bounds the connections that an endpoint accepts.
-	Connections int
+	Connections int `json:"Connections"`
 	// ColdPerSecond is the rate of requests that a cold endpoint bears.
-	ColdPerSecond float64
+	ColdPerSecond float64 `json:"ColdPerSecond"`
 	// ColdTime is how long an endpoint is cold after its start.
-	ColdTime time.Duration
+	ColdTime time.Duration `json:"ColdTime"`
 }
 
 // Limits bound what a client may send.
 type Limits struct {
-	HeaderBytes   int64
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	HeaderBytes   int64         `json:"HeaderBytes"`
+	BodyBytes     int64         `json:"BodyBytes"`
+	HeaderTimeout time.Duration `json:"HeaderTimeout"`
+	IdleTimeout   time.Duration `json:"IdleTimeout"`
 }
 
 // Route sends the requests of a host under a path prefix to services.
 type Route struct {
-	Name string
-	Host string
+	Name string `json:"Name"`
+	Host string `json:"Host"`
 	// Prefix begins and ends with a slash.
-	Prefix string
+	Prefix string `json:"Prefix"`
 	// Idempotent says that a request may run more than once.
-	Idempotent bool
+	Idempotent bool `json:"Idempotent"`
 	// Priority is the rank, 0 the highest.
-	Priority int
+	Priority int `json:"Priority"`
 	// Target is the time within which an answer earns full credit.
-	Target time.Duration
+	Target time.Duration `json:"Target"`
 	// Timeout is the longest time that a request is kept waiting.
-	Timeout time.Duration
+	Timeout time.Duration `json:"Timeout"`
 	// Attempts bounds the endpoints that a request is sent to.
-	Attempts int
+	Attempts int `json:"Attempts"`
 	// Sticky says that an endpoint serves an object faster that it has served
 	// lately.
-	Sticky bool
+	Sticky bool `json:"Sticky"`
 	// Parts share the requests by their weights; one part takes all.
-	Parts []Part
+	Parts []Part `json:"Parts"`
 	// Homes are the regions in which a request may run; empty means all.
-	Homes []string
+	Homes []string `json:"Homes"`
 }
 
 // Part is one service's share of a route.
 type Part struct {
-	Service string
-	Weight  float64
+	Service string  `json:"Service"`
+	Weight  float64 `json:"Weight"`
 }
 
 // Table finds the route of a request. It is built once for each version and
--- /dev/null
+++ b/internal/core/fleet/golden_test.go
@@ -0,0 +1,61 @@
+package fleet_test
+
+import (
+	"bytes"
+	"compress/gzip"
+	"io"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"sassafrasreach/internal/core/fleet"
+)
+
+// storedState is the value in testdata/state.json.gz, with no field at zero.
+var storedState = fleet.State{
+	Config: fleet.Config{
+		Version: 42,
+		Routes: []fleet.Route{{
+			Name: "belts", Host: "belts.example", Prefix: "/v1/", Idempotent: true, Priority: 2,
+			Target: 300 * time.Millisecond, Timeout: 2 * time.Second, Attempts: 3, Sticky: true,
+			Parts: []fleet.Part{{Service: "belt-control", Weight: 0.75}, {Service: "belt-next", Weight: 0.25}},
+			Homes: []string{"north", "south"},
+		}},
+		Services: []fleet.Service{{
+			Name: "belt-control", HealthPath: "/health", Connections: 64, ColdPerSecond: 1.5, ColdTime: 90 * time.Second,
+		}},
+		Limits: fleet.Limits{
+			HeaderBytes: 16384, BodyBytes: 1048576, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute,
+		},
+	},
+	Source:    []byte("{\"version\": \"r42\"}"),
+	Accepted:  []string{"00112233445566778899aabb", "ffeeddccbbaa998877665544"},
+	Evacuated: []string{"north-1", "south-2"},
+}
+
+// TestStoredStateKeepsItsNames reads a state that an earlier release stored and
+// writes it again: a renamed Go field must not change the stored names.
+func TestStoredStateKeepsItsNames(t *testing.T) {
+	is := is.New(t)
+	stored, err := os.ReadFile("testdata/state.json.gz")
+	is.NoErr(err)
+	state, err := fleet.Decode(stored)
+	is.NoErr(err)
+	is.Equal(*state, storedState)
+	again, err := state.Encode()
+	is.NoErr(err)
+	// The compressed bytes may change with the Go release, their content may not.
+	is.Equal(unpack(t, again), unpack(t, stored))
+}
+
+func unpack(t *testing.T, packed []byte) string {
+	t.Helper()
+	is := is.New(t)
+	reader, err := gzip.NewReader(bytes.NewReader(packed))
+	is.NoErr(err)
+	text, err := io.ReadAll(reader)
+	is.NoErr(err)
+	return string(text)
+}
--- a/internal/core/fleet/state.go
+++ b/internal/core/fleet/state.go
@@ -27,21 +27,21 @@
 
 // State is the whole of what operators have ordered.
 type State struct {
-	Config Config
+	Config Config `json:"Config"`
 	// Source is the configuration as the operator sent it.
-	Source []byte
+	Source []byte `json:"Source"`
 	// Accepted are digests of the sources of the accepted versions, oldest first.
-	Accepted []string
+	Accepted []string `json:"Accepted"`
 	// Evacuated are the failure domains that get no requests, sorted.
-	Evacuated []string
+	Evacuated []string `json:"Evacuated"`
 }
 
 // Change replaces the configuration.
 type Change struct {
 	// Base is the version that the change builds on.
-	Base   uint64
-	Config Config
-	Source []byte
+	Base   uint64 `json:"Base"`
+	Config Config `json:"Config"`
+	Source []byte `json:"Source"`
 }
 
 // Order is one order of an operator; the zero Order only reads.
--- a/internal/core/quorum/acceptor.go
+++ b/internal/core/quorum/acceptor.go
@@ -3,13 +3,13 @@
 // State is what a voter keeps on its disk.
 type State struct {
 	// ID names the disk.
-	ID string
+	ID string `json:"ID"`
 	// Epoch is the newest that the voter has entered; its number is zero before
 	// the first.
-	Epoch Epoch
+	Epoch Epoch `json:"Epoch"`
 	// Promised is never below the ballot of Accepted.
-	Promised Ballot
-	Accepted Accepted
+	Promised Ballot   `json:"Promised"`
+	Accepted Accepted `json:"Accepted"`
 }
 
 // Acceptor is the voting half of a member. It is not safe for concurrent use.
--- a/internal/core/quorum/types.go
+++ b/internal/core/quorum/types.go
@@ -8,15 +8,15 @@
 // Voter is one disk that votes.
 type Voter struct {
 	// ID names the disk.
-	ID string
+	ID string `json:"ID"`
 	// Address is the IP:port where its process answers.
-	Address string
+	Address string `json:"Address"`
 }
 
 // Epoch is one set of voters. Epochs are numbered from 1.
 type Epoch struct {
-	Number uint64
-	Voters []Voter
+	Number uint64  `json:"Number"`
+	Voters []Voter `json:"Voters"`
 }
 
 // Majority is the number of voters that decide.
@@ -30,9 +30,9 @@
 // Ballot orders the attempts of an epoch. Proposers never share a ballot. The
 // zero ballot precedes all others.
 type Ballot struct {
-	Round uint64
+	Round uint64 `json:"Round"`
 	// Proposer names an incarnation of a process.
-	Proposer string
+	Proposer string `json:"Proposer"`
 }
 
 // Compare returns -1, 0 or +1 as b is lower than, equal to or higher than o.
@@ -46,18 +46,18 @@
 // Value is what the register holds. It is never changed after it was proposed.
 type Value struct {
 	// Sequence grows with each value.
-	Sequence uint64
+	Sequence uint64 `json:"Sequence"`
 	// State is the content.
-	State []byte
+	State []byte `json:"State"`
 	// Next names the voters of the next epoch; nil unless the value seals its
 	// epoch.
-	Next []Voter
+	Next []Voter `json:"Next"`
 }
 
 // Accepted is a value with the ballot under which a voter accepted it.
 type Accepted struct {
-	Ballot Ballot
-	Value  *Value
+	Ballot Ballot `json:"Ballot"`
+	Value  *Value `json:"Value"`
 }
 
 // Refusal says why a voter didn't do what it was asked; nil when it did.
