--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -1,10 +1,12 @@
-// Package lease decides who dispatches the requests of a region.
+// Package lease decides which controller dispatches the requests of a region.
 //
-// A holder needs the votes of a majority. A voter gives its vote for a region
-// to one candidate at a time, for a term, and keeps it in memory; so one that
-// has just started gives none before a whole term has passed. The holder counts
-// a term from when it asked, the voter from when it answered, and a margin
-// covers clocks that run apart: no two holders overlap.
+// The dispatcher of a region holds a lease: the votes of a majority of the
+// voters. A voter grants its vote for a region to one candidate at a time, for
+// one term, and keeps it in memory only; a voter that has just started
+// therefore grants no vote until a whole term has passed. The holder counts the
+// term from when it sent its request, the voter from when it granted the vote,
+// and the holder stops earlier by a margin that covers clocks running at
+// different rates. So two holders never overlap.
 package lease
 
 import (
@@ -15,16 +17,17 @@
 )
 
 const (
-	// Term is how long a vote binds.
+	// Term is how long a granted vote binds the voter.
 	Term = 1500 * time.Millisecond
-	// margin is the part of a term that a holder doesn't use.
+	// margin is the part of a term that the holder does not use.
 	margin = 150 * time.Millisecond
 )
 
-// Ballots are the votes that one voter has given. Not safe for concurrent use.
+// Ballots holds the votes that one voter has granted, at most one per region.
+// Not safe for concurrent use.
 type Ballots struct {
-	mayVote time.Time
-	votes   map[string]vote
+	mayVoteAt time.Time
+	votes     map[string]vote
 }
 
 type vote struct {
@@ -32,14 +35,18 @@
 	until  time.Time
 }
 
-// NewBallots returns the ballots of a voter that starts now.
+// NewBallots returns the votes of a voter that starts now. It grants none for
+// one Term.
 func NewBallots(now time.Time) *Ballots {
-	return &Ballots{mayVote: now.Add(Term), votes: make(map[string]vote)}
+	return &Ballots{mayVoteAt: now.Add(Term), votes: make(map[string]vote)}
 }
 
-// Ask gives or refuses a vote for a region.
+// Ask requests the voter's vote for a region and says whether it is granted. It
+// is refused for one Term after the voter's start, and while another candidate
+// has an unexpired vote. A candidate that already has the vote gets it for
+// another Term from now.
 func (b *Ballots) Ask(now time.Time, region, candidate string) bool {
-	if now.Before(b.mayVote) {
+	if now.Before(b.mayVoteAt) {
 		return false
 	}
 	if v := b.votes[region]; v.holder != candidate && now.Before(v.until) {
@@ -49,43 +56,49 @@
 	return true
 }
 
-// Drop takes a vote back that the holder no longer needs.
+// Drop releases the vote for a region if holder has it, so that another
+// candidate can get it before the term ends.
 func (b *Ballots) Drop(region, holder string) {
 	if b.votes[region].holder == holder {
 		delete(b.votes, region)
 	}
 }
 
-// Candidate gathers the votes for one region. Not safe for concurrent use.
-type Candidate struct{ until map[string]time.Time }
+// Candidate collects the votes granted to one candidate for one region. Not
+// safe for concurrent use.
+type Candidate struct{ expiry map[string]time.Time }
 
 // NewCandidate returns a candidate without votes.
-func NewCandidate() *Candidate { return &Candidate{until: make(map[string]time.Time)} }
+func NewCandidate() *Candidate { return &Candidate{expiry: make(map[string]time.Time)} }
 
-// Voted takes the answer of a voter that was asked at a time.
+// Voted records the reply of a voter to a request that was sent at the time
+// asked. A refusal leaves an earlier vote in place.
 func (c *Candidate) Voted(voter string, asked time.Time, given bool) {
 	if given {
-		c.until[voter] = asked.Add(Term - margin)
+		c.expiry[voter] = asked.Add(Term - margin)
 	}
 }
 
-// Holds says whether a majority of the voters has given its votes.
+// Holds says whether a majority of the voters has granted votes that are
+// unexpired at now.
 func (c *Candidate) Holds(now time.Time, voters []string) bool {
 	n := 0
 	for _, v := range voters {
-		if now.Before(c.until[v]) {
+		if now.Before(c.expiry[v]) {
 			n++
 		}
 	}
 	return n > len(voters)/2
 }
 
-// Resign forgets all votes.
-func (c *Candidate) Resign() { c.until = make(map[string]time.Time) }
+// Resign discards all votes.
+func (c *Candidate) Resign() { c.expiry = make(map[string]time.Time) }
 
-// Before says whether a controller is to dispatch a region rather than another:
-// one of the region's own first, then by rendezvous hashing, which spreads the
-// regions and needs no agreement.
+// Before says whether controller A is preferred to controller B as the
+// dispatcher of a region: one located in the region comes first, then the one
+// with the higher rendezvous weight, then the one with the higher address.
+// Rendezvous hashing spreads the regions over the controllers and needs no
+// agreement between them.
 func Before(region, regionA, addressA, regionB, addressB string) bool {
 	if (regionA == region) != (regionB == region) {
 		return regionA == region
--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -1,16 +1,18 @@
-// Package rendezvous ranks places for keys by highest random weight (Thaler and
-// Ravishankar, 1998): all that know the same places choose alike, and a place
-// that comes or goes moves only its own keys.
+// Package rendezvous ranks nodes for keys by rendezvous hashing, also called
+// highest random weight (Thaler and Ravishankar, 1998). All processes that know
+// the same nodes rank them alike, and adding or removing a node moves only the
+// keys that this node gains or loses.
 package rendezvous
 
 import "hash/fnv"
 
-// Weight returns a place's weight for a key; the highest wins. It is FNV-1a,
-// mixed by the finalizer of SplitMix64 (Steele, Lea and Flood, 2014): without it
-// keys that differ in their last bytes rank places alike.
-func Weight(place, key string) uint64 {
+// Weight returns the weight of a node for a key; the node with the highest
+// weight is chosen. It is the FNV-1a hash of both, mixed by the finalizer of
+// SplitMix64 (Steele, Lea and Flood, 2014): without the mixing, keys that
+// differ only in their last bytes rank the nodes alike.
+func Weight(node, key string) uint64 {
 	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(place)) // a hash.Hash returns no error
+	_, _ = sum.Write([]byte(node)) // a hash.Hash returns no error
 	_, _ = sum.Write([]byte{0})
 	_, _ = sum.Write([]byte(key))
 	h := sum.Sum64()
--- a/internal/core/steering/blocks.go
+++ b/internal/core/steering/blocks.go
@@ -9,23 +9,23 @@
 
 // blockTable maps client blocks to indexes of places by longest prefix.
 //
-// Almost all blocks lie in two sorted arrays, which take a third of the memory
-// of a trie. Blocks longer than /64 don't fit their keys and go into a trie;
-// they are rare.
+// Almost all blocks are kept in two sorted arrays, which take a third of the
+// memory of a trie. IPv6 blocks longer than /64 do not fit the array's keys and
+// are kept in a trie; they are rare.
 type blockTable struct {
-	four segments[uint32]
-	six  segments[uint64] // the upper half of the address
-	long *bart.Table[uint16]
+	ipv4     segments[uint32]
+	ipv6     segments[uint64] // the upper half of the address
+	longIPv6 *bart.Table[uint16]
 }
 
-// longBits is the longest IPv6 block that lies in a sorted array.
-const longBits = 64
+// maxArrayBits is the length of the longest IPv6 block kept in a sorted array.
+const maxArrayBits = 64
 
 // blockBuilder collects the blocks of a blockTable.
 type blockBuilder struct {
-	four []block[uint32]
-	six  []block[uint64]
-	long *bart.Table[uint16]
+	ipv4     []block[uint32]
+	ipv6     []block[uint64]
+	longIPv6 *bart.Table[uint16]
 }
 
 func (b *blockBuilder) add(prefix netip.Prefix, index uint16) {
@@ -34,40 +34,40 @@
 	bits := uint8(prefix.Bits()) //nolint:gosec // at most 128
 	switch {
 	case addr.Is4():
-		b.four = append(b.four, block[uint32]{key4(addr), bits, index})
-	case bits <= longBits:
-		b.six = append(b.six, block[uint64]{key6(addr), bits, index})
+		b.ipv4 = append(b.ipv4, block[uint32]{key4(addr), bits, index})
+	case bits <= maxArrayBits:
+		b.ipv6 = append(b.ipv6, block[uint64]{key6(addr), bits, index})
 	default:
-		if b.long == nil {
-			b.long = &bart.Table[uint16]{}
+		if b.longIPv6 == nil {
+			b.longIPv6 = &bart.Table[uint16]{}
 		}
-		b.long.Insert(prefix, index)
+		b.longIPv6.Insert(prefix, index)
 	}
 }
 
 func (b *blockBuilder) build() *blockTable {
 	return &blockTable{
-		four: newSegments(b.four, 32),
-		six:  newSegments(b.six, longBits),
-		long: b.long,
+		ipv4:     newSegments(b.ipv4, 32),
+		ipv6:     newSegments(b.ipv6, maxArrayBits),
+		longIPv6: b.longIPv6,
 	}
 }
 
-// lookup returns the index of the longest block that holds the address. The
+// lookup returns the index of the longest block that contains the address. The
 // address must not be an IPv4 address in IPv6 form.
 func (b *blockTable) lookup(client netip.Addr) (uint16, bool) {
 	if client.Is4() {
-		return b.four.lookup(key4(client))
+		return b.ipv4.lookup(key4(client))
 	}
 	if !client.IsValid() {
 		return 0, false
 	}
-	if b.long != nil {
-		if index, ok := b.long.Lookup(client); ok {
+	if b.longIPv6 != nil {
+		if index, ok := b.longIPv6.Lookup(client); ok {
 			return index, true
 		}
 	}
-	return b.six.lookup(key6(client))
+	return b.ipv6.lookup(key6(client))
 }
 
 func key4(addr netip.Addr) uint32 {
--- a/internal/core/steering/blocks_test.go
+++ b/internal/core/steering/blocks_test.go
@@ -14,8 +14,8 @@
 	"sassafrasreach/internal/core/steering"
 )
 
-// addresses draws from few values, so that blocks nest and touch, also at both
-// ends of the address space.
+// addresses generates addresses from a few byte values, so that blocks often
+// nest and adjoin, also at both ends of the address space.
 func addresses() *rapid.Generator[netip.Addr] {
 	octet := rapid.SampledFrom([]byte{0, 1, 127, 128, 255})
 	return rapid.Custom(func(t *rapid.T) netip.Addr {
@@ -35,8 +35,9 @@
 	})
 }
 
-// TestPlaceOfAgreesWithTrie compares the sorted arrays with a trie that holds
-// the same blocks.
+// TestPlaceOfAgreesWithTrie guards against wrong results from nested or
+// adjoining blocks: it compares the sorted arrays with a trie of the same
+// blocks.
 func TestPlaceOfAgreesWithTrie(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		doc := &document.Document{Regions: []document.Region{{Name: "r"}}}
--- a/internal/core/steering/crossing.go
+++ b/internal/core/steering/crossing.go
@@ -1,8 +1,9 @@
 package steering
 
-// Crossing returns what a request of a service from origin crosses when it is
-// served at a place: every matching rule and every bounded link. False means
-// that no rule permits it, or that the place is drained for the service.
+// Crossing returns the choice of serving a request at the place at: every rule
+// that it crosses from origin and every bounded link. For origin itself it
+// crosses nothing. False means that the service or a place is unknown, that no
+// rule permits it, or that the place is drained for the service.
 func (t *Table) Crossing(service, origin, at string) (Choice, bool) {
 	s, ok := t.services[service]
 	if !ok {
@@ -21,6 +22,6 @@
 	if len(rules) == 0 {
 		return Choice{}, false
 	}
-	links := t.crossed(t.places[from].region, to.region)
+	links := t.linksCrossed(t.places[from].region, to.region)
 	return Choice{Place: at, Rules: rules, Links: links}, true
 }
--- a/internal/core/steering/main_test.go
+++ b/internal/core/steering/main_test.go
@@ -6,7 +6,8 @@
 	"sassafrasreach/internal/testseed"
 )
 
-// TestMain fixes the seed of property tests; the command line may change it.
+// TestMain fixes the seed of the property tests; a command-line flag can change
+// it.
 func TestMain(m *testing.M) {
 	testseed.Main(m, testseed.Settings{Seed: 1})
 }
--- a/internal/core/steering/rank.go
+++ b/internal/core/steering/rank.go
@@ -7,77 +7,82 @@
 )
 
 const (
-	// staleAfter is the age from which a group's state no longer counts as
-	// known.
+	// staleAfter is the age above which the state of a group counts as stale.
 	staleAfter = 5 * time.Second
-	// waitPart is the part of a service's deadline (one over it) that a request
-	// may wait for a slot in its own place before other places come first.
-	waitPart = 16
-	// defaultDeadline stands in for a service without one.
+	// waitDivisor sets how long a request may wait for a slot in its origin
+	// before other places are preferred: the service's deadline divided by it.
+	waitDivisor = 16
+	// defaultDeadline is used for a service without a deadline.
 	defaultDeadline = time.Second
-	// headroomSteps is the number of classes of headroom; groups of one class
-	// count as equal, so that small differences in late views don't send all
+	// headroomSteps is the number of classes of headroom. Groups of one class
+	// count as equal, so that small differences in stale views do not send all
 	// traffic to one place.
 	headroomSteps = 5
-	// nearRoundTrip and farRoundTrip stand in for a round trip that was not
-	// measured, inside a region and between regions.
+	// nearRoundTrip and farRoundTrip are used when no round trip was measured,
+	// inside a region and between regions.
 	nearRoundTrip = 2 * time.Millisecond
 	farRoundTrip  = 100 * time.Millisecond
-	// fnvOffset and fnvPrime are of the 64-bit FNV-1a hash (RFC 9923).
+	// fnvOffset and fnvPrime are the constants of the 64-bit FNV-1a hash (RFC
+	// 9923).
 	fnvOffset = 0xcbf29ce484222325
 	fnvPrime  = 0x100000001b3
-	// roundTripStep is the difference of round trips that matters for ranking.
+	// roundTripStep is the width of one class of round trips. Those of one
+	// class count as equal in the ranking.
 	roundTripStep = 10 * time.Millisecond
 )
 
 // Choice is one place that may answer a request.
 type Choice struct {
-	// Place names the place.
+	// Place is the name of the place.
 	Place string
 	// Rules names every rule of the document that the request crosses; it needs
-	// a token of each. Empty for the place of origin.
+	// a token from each. Empty for the origin.
 	Rules []string
-	// Links are the bounded links that the request crosses: the one that
-	// carries its body, then the one that carries the answer. A link that the
-	// document doesn't bound is left out.
+	// Links are the bounded links that the request crosses: first the one that
+	// carries its body, then the one that carries the answer. A link without a
+	// bound in the document is left out. The slice is nil inside a region.
 	Links []LinkID
-	// Room is the number of slots that are free for work from other places, by
-	// the view; 0 for the place of origin.
+	// Room is the number of slots free for requests from other places,
+	// according to the view; 0 for the origin.
 	Room int
 
 	tier     tier
-	distance int // class of round trips, lower is better
+	distance int // class of round-trip times, lower is better
 }
 
-// tier orders candidates before all else.
+// tier is the first criterion by which candidates are ordered, lowest first.
 type tier uint8
 
 const (
-	tierOrigin   tier = iota // the place of origin, in good state
-	tierNear                 // the same region
-	tierFar                  // other regions
-	tierBusy                 // the place of origin, overloaded
-	tierFull                 // other places without room below the reserve
-	tierStale                // known only from old reports
-	tierDraining             // the place of origin, drained
+	tierOrigin   tier = iota // the origin, neither overloaded nor drained
+	tierNear                 // another place in the origin's region
+	tierFar                  // a place in another region
+	tierBusy                 // the origin, overloaded
+	tierFull                 // another place with no free slots outside its reserve
+	tierStale                // another place whose state is stale
+	tierDraining             // the origin, drained
 )
 
-// candidate is a permitted place with what orders it.
+// candidate is a permitted place with the criteria that order it.
 type candidate struct {
 	Choice
-	headroom int // class, higher is better
-	spread   uint64
+	headroom   int // class, higher is better
+	spreadHash uint64
 }
 
-// Rank returns the places that may answer a request, best first. The place of
-// origin leads unless it is drained, dead or overloaded; an overloaded or
-// drained origin that still has endpoints comes after places that rules permit
-// and that have room. Places whose reserve leaves no room by the view are not
-// named, except when origin is dead or drained: then they come late, because
-// the view is old and their owner, who decides, refuses at once. Drained
-// places other than origin and dead places are not named. The result is empty
-// when the service or origin is unknown or nothing can answer. The same view
-// gives the same result. Rules and Links are shared: don't change them.
+// Rank returns the places that may answer a request, best first. The origin
+// comes first unless it is drained, dead or overloaded. A drained or overloaded
+// origin that still has endpoints comes after the places that rules permit and
+// that have room.
+//
+// A place whose slots outside the reserve are all taken, according to the view,
+// is left out unless the origin is dead or drained. In that case it is ranked
+// late: the view is stale, and the owner of its group decides and refuses at
+// once. Dead places, and drained places other than the origin, are left out.
+//
+// The result is empty when the service or the origin is unknown or nothing can
+// answer. The same view gives the same result. Rules and Links are shared:
+// callers must not modify them.
 func (t *Table) Rank(service, origin string, view View) []Choice {
 	s, ok := t.services[service]
 	if !ok {
@@ -87,11 +92,11 @@
 	if !ok {
 		return nil
 	}
-	groups := t.known(s, view)
-	trustOld := mostlyStale(groups)
+	groups := t.usableGroups(s, view)
+	ignoreAge := mostlyStale(groups)
 	candidates := make([]candidate, 0, len(groups))
 	for _, group := range groups {
-		if trustOld {
+		if ignoreAge {
 			group.Age = 0
 		}
 		c, ok := t.candidate(s, from, group.place, group.GroupView)
@@ -108,9 +113,9 @@
 	return choices
 }
 
-// withoutFull drops the places that have no room, as long as the place of
-// origin itself can go on: trying them would cost time and tokens, and origin
-// refuses at once what it can't serve.
+// withoutFull drops the places without room if the origin can still serve:
+// trying them would cost time and tokens, and the origin refuses at once what
+// it cannot serve.
 func withoutFull(candidates []candidate) []candidate {
 	serving := slices.ContainsFunc(candidates, func(c candidate) bool {
 		return c.tier == tierOrigin || c.tier == tierBusy
@@ -121,14 +126,14 @@
 	return slices.DeleteFunc(candidates, func(c candidate) bool { return c.tier == tierFull })
 }
 
-// placedGroup is a group with its place.
+// placedGroup is a group's state and the index of its place.
 type placedGroup struct {
 	GroupView
 	place uint16
 }
 
-// known returns the service's groups that can run a request.
-func (t *Table) known(s *service, view View) []placedGroup {
+// usableGroups returns the service's groups that can run a request.
+func (t *Table) usableGroups(s *service, view View) []placedGroup {
 	groups := make([]placedGroup, 0, len(s.places))
 	for _, place := range s.places {
 		group, ok := view.Group(s.doc.Name, t.places[place].name)
@@ -139,8 +144,9 @@
 	return groups
 }
 
-// mostlyStale says whether over half of the groups are stale. That is a fault
-// of measurement, so the last state is kept.
+// mostlyStale says whether more than half of the groups are stale. That points
+// to a failure of the reporting and not of the groups, so the last known state
+// is used as if it were current.
 func mostlyStale(groups []placedGroup) bool {
 	stale := 0
 	for _, group := range groups {
@@ -164,18 +170,18 @@
 		return candidate{}, false
 	}
 	near := from.region == to.region
-	room := SpillSlots(group.Slots, to.reserve) - group.taken()
+	room := SpillSlots(group.Slots, to.reserve) - group.outstanding()
 	c := candidate{
 		Choice: Choice{
 			Place:    to.name,
 			Rules:    rules,
-			Links:    t.crossed(from.region, to.region),
+			Links:    t.linksCrossed(from.region, to.region),
 			Room:     max(room, 0),
 			tier:     tierFar,
 			distance: int(roundTrip(group, near) / roundTripStep),
 		},
-		headroom: int(group.headroom() * headroomSteps),
-		spread:   spread(s.doc.Name, from.name, to.name),
+		headroom:   int(group.headroom() * headroomSteps),
+		spreadHash: spreadHash(s.doc.Name, from.name, to.name),
 	}
 	switch {
 	case group.Age > staleAfter:
@@ -197,20 +203,20 @@
 	switch {
 	case t.Drained(s.doc.Name, origin):
 		c.tier = tierDraining
-	case group.wait() > deadline/waitPart:
+	case group.estimatedWait() > deadline/waitDivisor:
 		c.tier = tierBusy
 	}
 	return c
 }
 
-// SpillSlots returns how many of a group's slots spilled-in work may use, with
-// the given reserve in percent.
+// SpillSlots returns how many of a group's slots requests from other places may
+// use, with the given reserve in percent.
 func SpillSlots(slots, reservePercent int) int {
 	return slots * (100 - reservePercent) / 100
 }
 
-// rulesTo returns the names of all rules that a request to a place crosses, or
-// nil when none matches or one of them moves nothing.
+// rulesTo returns the names of all rules that a request to a place crosses. It
+// returns nil when none matches or when one of them permits no requests.
 func rulesTo(rules []rule, to *place) []string {
 	var names []string
 	for i := range rules {
@@ -230,12 +236,13 @@
 	return names
 }
 
-// crossed returns the bounded links between two regions.
-func (t *Table) crossed(from, to string) []LinkID {
+// linksCrossed returns the bounded links that a request between two regions
+// crosses, in the order of Choice.Links.
+func (t *Table) linksCrossed(from, to string) []LinkID {
 	if from == to {
 		return nil
 	}
-	return t.between[LinkID{from, to}]
+	return t.linksBetween[LinkID{from, to}]
 }
 
 func roundTrip(group GroupView, near bool) time.Duration {
@@ -249,9 +256,10 @@
 	}
 }
 
-// spread orders equal places differently for each origin (rendezvous hashing,
-// Thaler and Ravishankar 1998), so that origins don't all pick the same one.
-func spread(service, origin, place string) uint64 {
+// spreadHash orders otherwise equal places differently for each origin
+// (rendezvous hashing, Thaler and Ravishankar 1998), so that the origins do not
+// all pick the same one.
+func spreadHash(service, origin, place string) uint64 {
 	hash := uint64(fnvOffset)
 	for _, part := range [...]string{service, origin, place} {
 		for i := range len(part) {
@@ -267,7 +275,7 @@
 		cmp.Compare(a.tier, b.tier),
 		cmp.Compare(a.distance, b.distance),
 		cmp.Compare(b.headroom, a.headroom),
-		cmp.Compare(a.spread, b.spread),
+		cmp.Compare(a.spreadHash, b.spreadHash),
 		cmp.Compare(a.Place, b.Place),
 	)
 }
--- a/internal/core/steering/rank_test.go
+++ b/internal/core/steering/rank_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// fixedView gives groups by place.
+// fixedView is a View with one fixed group per place.
 type fixedView map[string]steering.GroupView
 
 func (v fixedView) Group(_, place string) (steering.GroupView, bool) {
@@ -73,7 +73,7 @@
 	}{
 		{"origin first, then near, then headroom", "n1", nil, base(nil), []string{"n1", "n2", "s1", "s2"}},
 		{"no rule permits leaving", "s1", nil, base(nil), []string{"s1"}},
-		{"a rule that moves nothing", "n2", nil, base(nil), []string{"n2", "n1", "s1"}},
+		{"rule with a zero budget", "n2", nil, base(nil), []string{"n2", "n1", "s1"}},
 		{"dead origin", "n1", nil, base(map[string]steering.GroupView{"n1": with(healthy(0), dead)}), []string{"n2", "s1", "s2"}},
 		{"no endpoints", "n1", nil, base(map[string]steering.GroupView{"n1": {Live: true}}), []string{"n2", "s1", "s2"}},
 		{"overloaded origin", "n1", nil, base(map[string]steering.GroupView{"n1": with(healthy(0), queue)}), []string{"n2", "s1", "s2", "n1"}},
@@ -86,9 +86,9 @@
 		{"near place at its reserve", "n1", nil, base(map[string]steering.GroupView{"n2": healthy(16)}), []string{"n1", "s1", "s2"}},
 		{"full place and overloaded origin", "n1", nil, base(map[string]steering.GroupView{"n1": with(healthy(0), queue), "n2": healthy(16)}), []string{"s1", "s2", "n1"}},
 		{"full place before the drained origin", "n1", []document.Drain{{Place: "n1"}}, base(map[string]steering.GroupView{"s1": healthy(20)}), []string{"n2", "s2", "s1", "n1"}},
-		{"near place below it", "n1", nil, base(map[string]steering.GroupView{"n2": healthy(15)}), []string{"n1", "n2", "s1", "s2"}},
+		{"near place below its reserve", "n1", nil, base(map[string]steering.GroupView{"n2": healthy(15)}), []string{"n1", "n2", "s1", "s2"}},
 		{"stale target last", "n1", nil, base(map[string]steering.GroupView{"n2": with(healthy(1), stale)}), []string{"n1", "s1", "s2", "n2"}},
-		{"mostly stale keeps the list", "n1", nil, base(map[string]steering.GroupView{
+		{"most groups stale, last state used", "n1", nil, base(map[string]steering.GroupView{
 			"n1": with(healthy(9), stale), "n2": with(healthy(1), stale), "s1": with(healthy(2), stale),
 		}), []string{"n1", "n2", "s1", "s2"}},
 		{"unknown groups", "n1", nil, fixedView{}, nil},
@@ -141,8 +141,9 @@
 	}
 }
 
-// TestSpreadFollowsRoom sends many requests past two far places of unequal room
-// and a near one.
+// TestSpreadFollowsRoom guards against all requests of a class going to one
+// place: two far places of unequal room must share the requests in proportion
+// to it, and the near place must stay first.
 func TestSpreadFollowsRoom(t *testing.T) {
 	is := is.New(t)
 	table, err := steering.NewTable(testDocument())
@@ -152,7 +153,7 @@
 	for request := range uint64(4000) {
 		choices := table.Rank("roster", "n1", v)
 		steering.Spread(choices, request)
-		is.Equal(choices[0].Place, "n2") // the near place has a class of its own
+		is.Equal(choices[0].Place, "n2") // the near place is in a class of its own
 		first[choices[1].Place]++
 	}
 	is.True(first["s1"] > 2900 && first["s1"] < 3100) // 12 of 16
--- a/internal/core/steering/segments.go
+++ b/internal/core/steering/segments.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// key is the leading part of an address as a number.
+// key is the leading part of an address as an integer.
 type key interface{ uint32 | uint64 }
 
 // block is a client block with the index of its place.
@@ -16,10 +16,10 @@
 	index uint16
 }
 
-// segments maps ranges of addresses to indexes. Segment i begins at first[i]
-// and ends before the next segment or with the block of bits[i] leading bits
-// that holds first[i], whichever comes first. A block gives one segment, and
-// one more for each block nested in it that leaves addresses behind.
+// segments maps ranges of addresses to indexes. Segment i begins at first[i].
+// It ends before the next segment, or at the end of the block of bits[i]
+// leading bits that contains first[i], whichever comes first. A block takes one
+// segment, and one more for each block nested in it that ends before it does.
 type segments[K key] struct {
 	width uint8 // bits of K that addresses use
 	first []K
@@ -27,8 +27,8 @@
 	index []uint16
 }
 
-// newSegments sorts the blocks and lays them out. Of equal blocks the one that
-// was added last counts.
+// newSegments sorts the blocks and builds their segments. Of equal blocks the
+// one that was added last counts.
 func newSegments[K key](blocks []block[K], width uint8) segments[K] {
 	slices.SortStableFunc(blocks, func(a, b block[K]) int {
 		return cmp.Or(cmp.Compare(a.first, b.first), cmp.Compare(a.bits, b.bits))
@@ -50,8 +50,8 @@
 	return s
 }
 
-// close ends the open blocks that lie before next, and goes on with the block
-// around each of them.
+// close removes from open the blocks that end before next, innermost first.
+// After each one it adds a segment that continues the enclosing block.
 func (s *segments[K]) close(open []block[K], next K) []block[K] {
 	for len(open) > 0 {
 		inner := open[len(open)-1]
@@ -71,8 +71,9 @@
 	return open
 }
 
-// add appends the segment of a block from first on. A segment that began at
-// the same address is replaced: the later block is nested in the earlier.
+// add appends the segment of block b that begins at first. A segment that
+// begins at the same address is replaced, because the later block is nested in
+// the earlier one.
 func (s *segments[K]) add(first K, b block[K]) {
 	n := len(s.first)
 	if n > 0 && s.first[n-1] == first {
@@ -84,14 +85,15 @@
 	s.index = append(s.index, b.index)
 }
 
-// trim gives back the memory that growing the slices left over.
+// trim copies the slices to release unused capacity.
 func (s *segments[K]) trim() {
 	s.first = slices.Clone(s.first)
 	s.bits = slices.Clone(s.bits)
 	s.index = slices.Clone(s.index)
 }
 
-// last returns the last address of the block of bits leading bits around addr.
+// last returns the last address of the block of bits leading bits that contains
+// addr.
 func (s *segments[K]) last(addr K, bits uint8) K {
 	if bits >= s.width {
 		return addr
@@ -99,7 +101,7 @@
 	return addr | ^K(0)>>bits
 }
 
-// lookup returns the index of the segment that holds an address.
+// lookup returns the index of the segment that contains an address.
 func (s *segments[K]) lookup(addr K) (uint16, bool) {
 	after := sort.Search(len(s.first), func(i int) bool { return s.first[i] > addr })
 	if after == 0 {
--- a/internal/core/steering/spread.go
+++ b/internal/core/steering/spread.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// Spread reorders the choices of one ranking for one request, so that a shift
-// goes to all places that are equally good and not to the first of them alone:
-// choices of one class change places by weighted rendezvous hashing (Schindelhauer
-// and Schomaker 2005), with the room as the weight. The same request gives the
+// Spread reorders the choices of one ranking for one request, so that requests
+// that leave their origin are distributed over all equally good places instead
+// of all going to the first one. Choices of one class (equal tier and
+// round-trip class) are ordered by weighted rendezvous hashing (Schindelhauer
+// and Schomaker 2005) with the room as the weight. The same request gives the
 // same order.
 func Spread(choices []Choice, request uint64) {
 	for start := 0; start < len(choices); {
@@ -26,19 +27,20 @@
 
 func spreadClass(choices []Choice, request uint64) {
 	slices.SortStableFunc(choices, func(a, b Choice) int {
-		return cmp.Compare(a.draw(request), b.draw(request))
+		return cmp.Compare(a.weightedHash(request), b.weightedHash(request))
 	})
 }
 
-// draw is an exponentially distributed number of which the place with the most
-// room has the lowest most often.
-func (c Choice) draw(request uint64) float64 {
-	hash := mix(spread(c.Place, "", "") ^ mix(request))
+// weightedHash returns a number that is exponentially distributed over the
+// requests, with the room as its rate: the place with the most room has the
+// lowest number most often.
+func (c Choice) weightedHash(request uint64) float64 {
+	hash := mix(spreadHash(c.Place, "", "") ^ mix(request))
 	uniform := (float64(hash>>11) + 1) / (1 << 53)
 	return -math.Log(uniform) / float64(max(c.Room, 1))
 }
 
-// mix is the finaliser of SplitMix64 (Steele, Lea and Flood 2014).
+// mix is the finalizer of SplitMix64 (Steele, Lea and Flood 2014).
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/core/steering/table.go
+++ b/internal/core/steering/table.go
@@ -12,44 +12,45 @@
 
 // Errors of NewTable.
 var (
-	// ErrUnknownPlace means that the document names a place it doesn't have.
+	// ErrUnknownPlace means that a service names a place that the document does
+	// not define.
 	ErrUnknownPlace = errors.New("unknown place")
-	// ErrUnknownRegion means that a place names a region that the document
-	// doesn't have.
+	// ErrUnknownRegion means that a place names a region that the document does
+	// not define.
 	ErrUnknownRegion = errors.New("unknown region")
-	// ErrBlock means that a client block can't be read.
+	// ErrBlock means that a client block cannot be parsed.
 	ErrBlock = errors.New("bad client block")
 	// ErrTooManyPlaces means that the document has more than 65,535 places.
 	ErrTooManyPlaces = errors.New("too many places")
 )
 
-// maxPlaces keeps the index of a place in 16 bits.
+// maxPlaces bounds the number of places so that an index fits in 16 bits.
 const maxPlaces = math.MaxUint16
 
-// LinkID names the network between two regions, in one direction.
+// LinkID identifies the network between two regions, in one direction.
 type LinkID struct {
-	// From and To name regions.
+	// From and To are names of regions.
 	From, To string
 }
 
 // Table is an immutable snapshot of a document, safe for concurrent use.
 type Table struct {
-	places   []place
-	indexes  map[string]uint16
-	services map[string]*service
-	between  map[LinkID][]LinkID // bounded links that a request crosses
-	drained  map[drainKey]struct{}
-	blocks   *blockTable
+	places       []place
+	indexes      map[string]uint16
+	services     map[string]*service
+	linksBetween map[LinkID][]LinkID // bounded links crossed, by origin and destination region
+	drained      map[drainKey]struct{}
+	blocks       *blockTable
 }
 
-// place is what ranking needs to know of a document.Place.
+// place holds what the ranking needs of a document.Place.
 type place struct {
 	name    string
 	region  string
 	reserve int // percent
 }
 
-// service is a document.Service, ready for ranking.
+// service is a document.Service, prepared for ranking.
 type service struct {
 	doc    *document.Service
 	places []uint16
@@ -58,27 +59,27 @@
 	rulesFrom [][]rule
 }
 
-// rule is a document.Rule whose origin is settled.
+// rule is a document.Rule, kept for the places of origin to which it applies.
 type rule struct {
-	names  []string // the rule's name alone, shared by choices
+	names  []string // only the rule's name; a slice so that choices can share it
 	to     string
-	closed bool // moves nothing
+	closed bool // permits no requests
 }
 
-// drainKey names a drain; an empty service means every service.
+// drainKey identifies a drain; an empty service means every service.
 type drainKey struct {
 	service, place string
 }
 
-// NewTable builds the snapshot of a validated document. The table keeps doc's
-// services; the caller must not change them afterwards. The error wraps one of
-// the package's sentinel errors.
+// NewTable builds the snapshot of a validated document. The table keeps
+// references to doc's services, which the caller must not change afterwards.
+// The error wraps one of the package's sentinel errors.
 func NewTable(doc *document.Document) (*Table, error) {
 	t := &Table{
-		indexes:  make(map[string]uint16, len(doc.Places)),
-		services: make(map[string]*service, len(doc.Services)),
-		between:  make(map[LinkID][]LinkID, 2*len(doc.Links)),
-		drained:  make(map[drainKey]struct{}, len(doc.Drains)),
+		indexes:      make(map[string]uint16, len(doc.Places)),
+		services:     make(map[string]*service, len(doc.Services)),
+		linksBetween: make(map[LinkID][]LinkID, 2*len(doc.Links)),
+		drained:      make(map[drainKey]struct{}, len(doc.Drains)),
 	}
 	if err := t.addPlaces(doc); err != nil {
 		return nil, err
@@ -141,17 +142,18 @@
 	}
 }
 
-// within says whether the place is, or lies in, what a rule names.
+// within says whether name, from a rule, is this place or its region.
 func (p *place) within(name string) bool { return p.name == name || p.region == name }
 
-// addLinks notes for each pair of regions the link that carries a request's
-// body, and then the one that carries its answer.
+// addLinks records for each pair of regions the bounded links that a request
+// crosses: first the one that carries its body, then the one that carries the
+// answer.
 func (t *Table) addLinks(links []document.Link) {
 	for _, link := range links {
 		id := LinkID{link.From, link.To}
-		t.between[id] = slices.Insert(t.between[id], 0, id)
+		t.linksBetween[id] = slices.Insert(t.linksBetween[id], 0, id)
 		back := LinkID{link.To, link.From}
-		t.between[back] = append(t.between[back], id)
+		t.linksBetween[back] = append(t.linksBetween[back], id)
 	}
 }
 
@@ -170,7 +172,8 @@
 	return nil
 }
 
-// PlaceOf returns the place whose longest client block holds the address.
+// PlaceOf returns the place with the longest client block that contains the
+// address. False means that no block does.
 func (t *Table) PlaceOf(client netip.Addr) (string, bool) {
 	index, ok := t.blocks.lookup(client.Unmap())
 	if !ok {
@@ -179,7 +182,8 @@
 	return t.places[index].name, true
 }
 
-// Service returns a service of the document.
+// Service returns the service of the given name. False means that the document
+// has none.
 func (t *Table) Service(name string) (*document.Service, bool) {
 	s, ok := t.services[name]
 	if !ok {
@@ -188,7 +192,7 @@
 	return s.doc, true
 }
 
-// Region returns the region of a place.
+// Region returns the region of a place. False means that the place is unknown.
 func (t *Table) Region(place string) (string, bool) {
 	index, ok := t.indexes[place]
 	if !ok {
@@ -197,8 +201,8 @@
 	return t.places[index].region, true
 }
 
-// Reserve returns the percentage of a place's slots that work from other places
-// may not use.
+// Reserve returns the percentage of a place's slots that requests from other
+// places may not use. False means that the place is unknown.
 func (t *Table) Reserve(place string) (int, bool) {
 	index, ok := t.indexes[place]
 	if !ok {
@@ -207,7 +211,7 @@
 	return t.places[index].reserve, true
 }
 
-// Drained says whether a place is out of use for a service.
+// Drained says whether a place is drained for a service, or for every service.
 func (t *Table) Drained(service, place string) bool {
 	if _, ok := t.drained[drainKey{"", place}]; ok {
 		return true
