--- a/internal/core/membership/directory.go
+++ b/internal/core/membership/directory.go
@@ -7,17 +7,24 @@
 
 // Directory is an immutable index of the peers. Tables may share one.
 type Directory struct {
-	byName  map[string]int
-	peers   []Peer
-	cells   []int
-	places  map[string][][]int
+	// byName holds the index in peers of each named peer that has a place.
+	byName map[string]int
+	// peers is sorted by name and address.
+	peers []Peer
+	// cells holds for each peer the number of its cell within its place.
+	cells []int
+	// places holds the cells of each place, as indexes in peers.
+	places map[string][][]int
+	// regions lists the places of each region.
 	regions map[string][]string
-	region  map[string]string
-	seeds   []int
+	// region holds the region of each place.
+	region map[string]string
+	// seeds holds the indexes of the peers without a name or a place.
+	seeds []int
 }
 
 // NewDirectory indexes peers and divides each place into cells of at most
-// cellSize members; every entry with the same peers gets the same cells.
+// cellSize members. Every entry that has the same peers gets the same cells.
 func NewDirectory(peers []Peer, cellSize int) *Directory {
 	sorted := slices.Clone(peers)
 	slices.SortFunc(sorted, func(a, b Peer) int {
@@ -58,7 +65,8 @@
 	d.regions[p.Region] = append(d.regions[p.Region], p.Place)
 }
 
-// divide deals the members of a place out to its cells.
+// divide distributes the members of a place over its cells in round-robin
+// order.
 func (d *Directory) divide(list []int, cellSize int) [][]int {
 	count := max(1, (len(list)+cellSize-1)/cellSize)
 	cells := make([][]int, count)
@@ -70,7 +78,8 @@
 	return cells
 }
 
-// Peer returns the peer with the given name.
+// Peer returns the peer with the given name; false means that it is not listed
+// or has no place.
 func (d *Directory) Peer(name string) (Peer, bool) {
 	i, ok := d.byName[name]
 	if !ok {
@@ -79,7 +88,7 @@
 	return d.peers[i], true
 }
 
-// sameCell says whether two listed entries are in one cell.
+// sameCell says whether two listed entries are in the same cell.
 func (d *Directory) sameCell(a, b string) bool {
 	i, okA := d.byName[a]
 	j, okB := d.byName[b]
@@ -89,7 +98,7 @@
 	return d.peers[i].Place == d.peers[j].Place && d.cells[i] == d.cells[j]
 }
 
-// regionPlaces returns the other places of a place's region.
+// regionPlaces returns the other places in the region of a place.
 func (d *Directory) regionPlaces(place string) []string {
 	var others []string
 	for _, p := range d.regions[d.region[place]] {
@@ -100,7 +109,7 @@
 	return others
 }
 
-// Names returns the names of the listed entries in order.
+// Names returns the names of the listed entries in sorted order.
 func (d *Directory) Names() []string {
 	names := make([]string, 0, len(d.byName))
 	for _, p := range d.peers {
--- a/internal/core/membership/faults_test.go
+++ b/internal/core/membership/faults_test.go
@@ -11,18 +11,18 @@
 	"sassafrasreach/internal/core/membership"
 )
 
-// spell is what was seen of a group's owners over a stretch of time.
-type spell struct {
+// ownership summarizes the owners of a group over a period of observation.
+type ownership struct {
 	most   int           // most owners at one moment
 	gap    time.Duration // longest time without one
 	owners []string      // at the end
 }
 
-// watch runs the network and looks at a group after every step.
-func (n *network) watch(d time.Duration, service, place string) spell {
-	s := spell{}
+// observe runs the network and records the owners of a group after every step.
+func (n *network) observe(d time.Duration, service, place string) ownership {
+	s := ownership{}
 	lastOwned := n.now
-	n.observe = func() {
+	n.afterStep = func() {
 		s.owners = n.owners(service, place)
 		s.most = max(s.most, len(s.owners))
 		if len(s.owners) > 0 {
@@ -31,12 +31,16 @@
 		s.gap = max(s.gap, n.now.Sub(lastOwned))
 	}
 	n.run(d)
-	n.observe = nil
+	n.afterStep = nil
 	return s
 }
 
-const service, home = "roster-desk", "guro-a"
+const service, homePlace = "roster-desk", "guro-a"
 
+// TestOwnershipUnderFaults guards against two owners of a group at the same
+// time, a group without an owner for too long, and an ownership that does not
+// return to the first owner after the fault. Only under a partition may there
+// be two owners.
 func TestOwnershipUnderFaults(t *testing.T) {
 	lost := func(n *network, place string) {
 		for _, name := range n.order {
@@ -51,37 +55,38 @@
 	cases := []struct {
 		name  string
 		fault func(n *network, owner string)
-		// most and gap bound what may be seen under the fault.
+		// most and gap are upper bounds during the fault; most holds afterwards
+		// too.
 		most  int
 		gap   time.Duration
-		taken bool // another entry owns the group afterwards
+		taken bool // another entry owns the group at the end of the fault
 		place string
 	}{
-		{"killed", func(n *network, o string) { n.tables[o] = nil }, 1, 3 * time.Second, true, home},
-		{"frozen", func(n *network, o string) { n.frozen[o] = true }, 1, 3 * time.Second, true, home},
-		{"unheard", func(n *network, o string) { n.cut = from(o) }, 1, 3 * time.Second, true, home},
-		{"deaf", func(n *network, o string) { n.cut = func(_, b string) bool { return b == o } }, 1, time.Second, false, home},
-		{"unheard by its place", func(n *network, o string) {
-			n.cut = func(a, b string) bool { return a == o && strings.HasPrefix(b, home) }
-		}, 1, time.Second, true, home},
-		{"halves cut", func(n *network, o string) {
-			n.cut = func(a, b string) bool { return strings.HasPrefix(a, home) && (a == o) != (b == o) }
-		}, 2, 2 * time.Second, false, home},
-		{"leaving", func(n *network, o string) { n.tables[o].Leave(n.now) }, 1, time.Second, true, home},
-		{"place lost", func(n *network, _ string) { lost(n, home) }, 1, 10 * time.Second, true, "pangyo-b"},
-		{"places cut", func(n *network, _ string) {
-			n.cut = func(a, b string) bool { return strings.HasPrefix(a, home) != strings.HasPrefix(b, home) }
-		}, 2, 0, false, home},
+		{"killed", func(n *network, o string) { n.tables[o] = nil }, 1, 3 * time.Second, true, homePlace},
+		{"frozen", func(n *network, o string) { n.frozen[o] = true }, 1, 3 * time.Second, true, homePlace},
+		{"outgoing messages lost", func(n *network, o string) { n.cut = from(o) }, 1, 3 * time.Second, true, homePlace},
+		{"incoming messages lost", func(n *network, o string) { n.cut = func(_, b string) bool { return b == o } }, 1, time.Second, false, homePlace},
+		{"outgoing messages to its place lost", func(n *network, o string) {
+			n.cut = func(a, b string) bool { return a == o && strings.HasPrefix(b, homePlace) }
+		}, 1, time.Second, true, homePlace},
+		{"owner partitioned from its place", func(n *network, o string) {
+			n.cut = func(a, b string) bool { return strings.HasPrefix(a, homePlace) && (a == o) != (b == o) }
+		}, 2, 2 * time.Second, false, homePlace},
+		{"leaving", func(n *network, o string) { n.tables[o].Leave(n.now) }, 1, time.Second, true, homePlace},
+		{"place lost", func(n *network, _ string) { lost(n, homePlace) }, 1, 10 * time.Second, true, "pangyo-b"},
+		{"place partitioned from the others", func(n *network, _ string) {
+			n.cut = func(a, b string) bool { return strings.HasPrefix(a, homePlace) != strings.HasPrefix(b, homePlace) }
+		}, 2, 0, false, homePlace},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			n := newNetwork(membership.Config{}, hanbit, 3)
 			n.run(6 * time.Second)
-			before := n.owners(service, home)
+			before := n.owners(service, homePlace)
 			is.Equal(len(before), 1)
 			c.fault(n, before[0])
-			s := n.watch(15*time.Second, service, home)
+			s := n.observe(15*time.Second, service, homePlace)
 			t.Logf("most %d gap %v", s.most, s.gap)
 			is.True(s.most <= c.most)
 			is.True(s.gap <= c.gap)
@@ -89,7 +94,7 @@
 			is.Equal(s.owners[0] != before[0], c.taken)
 			is.True(strings.HasPrefix(s.owners[0], c.place))
 
-			// The fault ends: thawed, joined, or restarted with a new incarnation.
+			// The fault ends: resumed, reconnected, or restarted with a new incarnation.
 			n.cut = func(string, string) bool { return false }
 			clear(n.frozen)
 			for _, name := range n.order {
@@ -97,50 +102,60 @@
 					n.start(name, 2)
 				}
 			}
-			s = n.watch(15*time.Second, service, home)
+			s = n.observe(15*time.Second, service, homePlace)
 			t.Logf("after: most %d gap %v", s.most, s.gap)
 			is.True(s.most <= c.most)
 			is.True(s.gap <= 2*time.Second)
 			is.Equal(s.owners, before)
 			for _, name := range n.order {
-				owner, ok := n.tables[name].Owner(n.now, service, home)
+				owner, ok := n.tables[name].Owner(n.now, service, homePlace)
 				is.True(ok)
 				is.Equal(owner.Name, before[0])
-				is.Equal(len(n.tables[name].Live(n.now, home)), 3)
+				is.Equal(len(n.tables[name].Live(n.now, homePlace)), 3)
 			}
 		})
 	}
 }
 
-func TestThawedOwnerFencesItselfBeforeItsNextTick(t *testing.T) {
+// TestResumedOwnerIsFencedBeforeItsNextTick guards against an owner that was
+// suspended for longer than its lease and acts as an owner again when it
+// resumes, or that considers the others dead because it received nothing while
+// suspended.
+func TestResumedOwnerIsFencedBeforeItsNextTick(t *testing.T) {
 	for _, perPlace := range []int{1, 3} {
 		is := is.New(t)
 		n := newNetwork(membership.Config{}, hanbit, perPlace)
 		n.run(6 * time.Second)
-		owner := n.owners(service, home)[0]
+		owner := n.owners(service, homePlace)[0]
 		n.frozen[owner] = true
 		n.run(10 * time.Second)
-		is.True(!n.tables[owner].OwnsSelf(n.now, service, home))
-		is.Equal(len(n.tables[owner].Live(n.now, "pangyo-b")), perPlace) // their silence was its own
+		is.True(!n.tables[owner].OwnsSelf(n.now, service, homePlace))
+		is.Equal(len(n.tables[owner].Live(n.now, "pangyo-b")), perPlace) // its own stall is not taken for their failure
 		n.tables[owner].Tick(n.now)
-		is.True(!n.tables[owner].OwnsSelf(n.now, service, home))
+		is.True(!n.tables[owner].OwnsSelf(n.now, service, homePlace))
 	}
 }
 
-func TestStartedEntryDoesNotTakeOverFromThoseItHasNotHeardYet(t *testing.T) {
+// TestStartedEntryWaitsForUnseenEntries guards against a started entry that
+// takes over a group before it can have received the heartbeats of the live
+// owner.
+func TestStartedEntryWaitsForUnseenEntries(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(membership.Config{}, hanbit, 1)
 	table := n.tables["pangyo-b-e00"]
-	var took time.Duration
-	for d := time.Duration(0); took == 0 && d < time.Minute; d += period {
+	var takeover time.Duration
+	for d := time.Duration(0); takeover == 0 && d < time.Minute; d += period {
 		table.Tick(n.now.Add(d))
-		if table.OwnsSelf(n.now.Add(d), service, home) {
-			took = d
+		if table.OwnsSelf(n.now.Add(d), service, homePlace) {
+			takeover = d
 		}
 	}
-	is.Equal(took, 4*time.Second) // the suspicion time outside the cell, 6 entries
+	is.Equal(takeover, 4*time.Second) // SuspectAfter plus the delay outside the cell, with 6 entries
 }
 
+// TestRestartStorm guards against two owners, a long time without one, and
+// entries that keep the old incarnation of another when all entries restart at
+// once.
 func TestRestartStorm(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(membership.Config{}, hanbit, 3)
@@ -148,7 +163,7 @@
 	for k, name := range n.order {
 		n.start(name, uint64(2+k))
 	}
-	s := n.watch(8*time.Second, service, home)
+	s := n.observe(8*time.Second, service, homePlace)
 	is.True(s.most == 1)
 	is.True(s.gap <= 4*time.Second)
 	for _, name := range n.order {
@@ -160,36 +175,41 @@
 	}
 }
 
-func TestLateAndCrossedHeartbeatsChangeNothing(t *testing.T) {
+// TestLateAndReorderedHeartbeatsChangeNothing guards against old heartbeats
+// that arrive late and in reverse order making a dead entry live, lowering an
+// incarnation or superseding the receiver.
+func TestLateAndReorderedHeartbeatsChangeNothing(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork(membership.Config{}, hanbit, 3)
 	var old []membership.Heartbeat
-	n.tap = func(hb membership.Heartbeat) { old = append(old, hb) }
+	n.onHeartbeat = func(hb membership.Heartbeat) { old = append(old, hb) }
 	n.run(4 * time.Second)
-	n.tap = nil
-	victim := n.owners(service, home)[0]
+	n.onHeartbeat = nil
+	victim := n.owners(service, homePlace)[0]
 	n.start(victim, 2)
 	n.run(3 * time.Second)
 	n.tables[victim] = nil
 	n.run(10 * time.Second)
-	watcher := n.tables["pangyo-b-e00"]
+	observer := n.tables["pangyo-b-e00"]
 	for i := len(old) - 1; i >= 0; i-- {
-		watcher.Receive(n.now, old[i])
+		observer.Receive(n.now, old[i])
 	}
-	_, live := watcher.Member(n.now, victim)
+	_, live := observer.Member(n.now, victim)
 	is.True(!live)
-	incarnation, _ := watcher.KnownIncarnation(victim)
+	incarnation, _ := observer.KnownIncarnation(victim)
 	is.Equal(incarnation, uint64(2))
-	is.True(!watcher.Superseded())
-	is.Equal(len(watcher.Live(n.now, home)), 2)
+	is.True(!observer.Superseded())
+	is.Equal(len(observer.Live(n.now, homePlace)), 2)
 }
 
-func TestRowsOfAnOldIncarnation(t *testing.T) {
+// TestRowsOfOldIncarnationsAreIgnored guards against rows of a former
+// incarnation that arrive late and replace those of the present one.
+func TestRowsOfOldIncarnationsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	table := membership.NewTable(membership.Member{Name: "b", Place: "p", Incarnation: 1}, membership.Config{})
 	table.Tick(now)
-	say := func(incarnation, counter uint64, leaving bool) {
+	receive := func(incarnation, counter uint64, leaving bool) {
 		row := membership.MemberRow{Name: "a", Place: "p", Incarnation: incarnation, Counter: counter, Leaving: leaving}
 		group := membership.GroupRow{
 			Service: "s", Place: "p", Owner: "a",
@@ -199,12 +219,12 @@
 			From: "a", Members: []membership.MemberRow{row}, Groups: []membership.GroupRow{group},
 		})
 	}
-	say(5, 9, true)
-	say(5, 10, false) // leaving never reverts within an incarnation
+	receive(5, 9, true)
+	receive(5, 10, false) // leaving never reverts within an incarnation
 	a, ok := table.Member(now, "a")
 	is.True(ok && a.Leaving)
-	say(6, 1, false)
-	say(5, 99, true) // late
+	receive(6, 1, false)
+	receive(5, 99, true) // arrives late
 	late := membership.GroupRow{Service: "other", Place: "p", Owner: "a", OwnerIncarnation: 5, Counter: 1}
 	table.Receive(now, membership.Heartbeat{From: "c", Groups: []membership.GroupRow{late}})
 	_, _, known := table.Group(now, "other", "p")
@@ -217,7 +237,10 @@
 	is.Equal(group.Endpoints, 1)
 }
 
-func TestTwinWithAHigherIncarnationFences(t *testing.T) {
+// TestDuplicateNameWithHigherIncarnationFences guards against two processes
+// with one name that both act as owners: the one with the lower incarnation
+// must be fenced.
+func TestDuplicateNameWithHigherIncarnationFences(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	table := membership.NewTable(membership.Member{Name: "a", Place: "p", Incarnation: 5}, membership.Config{})
@@ -230,9 +253,11 @@
 	is.Equal(incarnation, uint64(6))
 }
 
-// TestRestartHeardFromAfar has an entry hear from another place first that its
-// mate has restarted: the mate has to become an owner anew.
-func TestRestartHeardFromAfar(t *testing.T) {
+// TestRestartReportedFromOutsideTheCell guards against a cell member that
+// restarted counting as an owner at once. The restart is first reported from
+// another place, and the rows from the member itself then carry a known
+// incarnation; it must still settle anew.
+func TestRestartReportedFromOutsideTheCell(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	table := membership.NewTable(membership.Member{Name: "b", Place: "p", Incarnation: 1}, membership.Config{})
@@ -258,7 +283,7 @@
 		round("a", "p", 1)
 	}
 	service := ""
-	for n := range 100 { // a service that belongs to a
+	for n := range 100 { // a service whose groups a owns
 		s := fmt.Sprint("s", n)
 		if owner, ok := table.Owner(now, s, "p"); ok && owner.Name == "a" {
 			service = s
@@ -273,9 +298,10 @@
 	is.Equal(owner.Name, "b")
 }
 
-// TestSilenceOfALeavingMate has the only other entry of a place leave and end,
-// and a new one start in its stead: the silence between the two fences nobody.
-func TestSilenceOfALeavingMate(t *testing.T) {
+// TestSilenceOfLeavingMemberDoesNotFence guards against an entry fenced for
+// missing acknowledgements when the only other entry of its place leaves, ends
+// and is replaced by a new one.
+func TestSilenceOfLeavingMemberDoesNotFence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	table := membership.NewTable(membership.Member{Name: "b", Place: "p", Incarnation: 1}, membership.Config{})
@@ -304,16 +330,17 @@
 	is.True(table.OwnsSelf(now, "s", "p"))
 }
 
-// TestReliefThatIsOnlyHeardOf has the only other entry of a place restart, known from
-// another place alone: it is about to come, so this one isn't relieved yet.
-func TestReliefThatIsOnlyHeardOf(t *testing.T) {
+// TestNotRelievedByRestartReportedFromOutside guards against an entry leaving
+// its place without an owner: the only other entry is leaving, and then
+// restarting as reported from another place alone, and has not settled yet.
+func TestNotRelievedByRestartReportedFromOutside(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	table := membership.NewTable(membership.Member{Name: "b", Place: "p", Incarnation: 1}, membership.Config{})
 	table.SetPeers(now, []membership.Peer{
 		{Name: "a", Place: "p", Region: "r"}, {Name: "b", Place: "p", Region: "r"}, {Name: "far", Place: "q", Region: "r"},
 	})
-	hear := func(from, place string, incarnation, counter uint64, leaving bool) {
+	receive := func(from, place string, incarnation, counter uint64, leaving bool) {
 		table.Tick(now)
 		rows := []membership.MemberRow{{Name: from, Place: place, Incarnation: 1, Counter: counter}}
 		if from == "a" {
@@ -326,10 +353,10 @@
 		now = now.Add(500 * time.Millisecond)
 	}
 	for n := range uint64(10) {
-		hear("a", "p", 1, n+1, false)
+		receive("a", "p", 1, n+1, false)
 	}
-	hear("a", "p", 1, 11, true)
+	receive("a", "p", 1, 11, true)
 	is.True(!table.Relieved(now))
-	hear("far", "q", 2, 12, false)
+	receive("far", "q", 2, 12, false)
 	is.True(!table.Relieved(now))
 }
--- a/internal/core/membership/gossip.go
+++ b/internal/core/membership/gossip.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// receiveFactor bounds the rows read of one heartbeat, in MaxRows.
+	// receiveFactor bounds the rows read from one heartbeat: to this multiple
+	// of MaxRows for members and of MaxGroups for groups.
 	receiveFactor = 4
 )
 
-// Tick advances the own counter and returns the heartbeats of this period. It
-// is called every Period; a gap longer than the lease counts as a stall.
+// Tick advances this entry's counter and returns the heartbeats to send in this
+// period. It must be called once per Period; a gap longer than the lease counts
+// as a stall.
 func (t *Table) Tick(now time.Time) []Target {
-	t.begin(now)
-	t.wake(now)
+	t.markStarted(now)
+	t.detectStall(now)
 	t.lastTick = now
 	t.self.Counter++
 	t.sentAt[t.self.Counter%historyTicks] = now
-	t.noteHearing(now)
-	t.dropGroups(now)
+	t.updateCellContact(now)
+	t.expireGroups(now)
 	peers := t.nextTargets(now)
 	targets := make([]Target, 0, len(peers))
 	for _, peer := range peers {
@@ -30,11 +32,12 @@
 }
 
 // Receive merges a heartbeat and returns the reply to it: rows that the sender
-// lacks. A reply is merged in the same way, and its own reply is ignored.
+// lacks. The sender passes the reply to Receive as well, and ignores the
+// result.
 func (t *Table) Receive(now time.Time, hb Heartbeat) Heartbeat {
-	t.begin(now)
-	t.wake(now)
-	t.answered(hb.From)
+	t.markStarted(now)
+	t.detectStall(now)
+	t.clearAwaited(hb.From)
 	place := ""
 	if len(hb.Members) > 0 {
 		place = hb.Members[0].Place
@@ -51,11 +54,12 @@
 		row = unpackGroup(row, hb)
 		t.mergeGroup(now, hb.From, row)
 	}
-	t.noteHearing(now)
+	t.updateCellContact(now)
 	return t.compose(now, hb.From, &hb)
 }
 
-// mergeMember takes a row over if it is newer than what is known.
+// mergeMember merges a row about a member. Of a row that is not newer than the
+// known one, only a Leaving mark of the same incarnation is taken over.
 func (t *Table) mergeMember(now time.Time, from string, row MemberRow) {
 	if row.Name == t.self.Name {
 		t.mergeSelf(now, from, row)
@@ -68,9 +72,9 @@
 	switch {
 	case row.Name == "" || row.Place == "":
 	case t.dir.sameCell(t.self.Name, row.Name) && !t.dir.sameCell(t.self.Name, from):
-		mergeHearsay(s, row)
+		mergeIndirect(s, row)
 	case !known:
-		if t.mayAdd(row) {
+		if t.shouldAdd(row) {
 			t.members[row.Name] = t.newState(now, from, row)
 		}
 	case row.Incarnation > s.row.Incarnation:
@@ -80,102 +84,112 @@
 	}
 }
 
-// mergeHearsay takes from a row of a cell member that came from outside the cell
-// that the member has restarted or is leaving, but not that it is live: the
-// cell itself decides that, so that its members agree with the fence of one
-// that only others hear.
-func mergeHearsay(s *state, row MemberRow) {
+// mergeIndirect merges a row about a member of the own cell that was received
+// from outside the cell. It takes over that the member has restarted or is
+// leaving, but not that it is live. Liveness is decided within the cell, so
+// that the other members agree with the fence of a member whose heartbeats only
+// reach entries outside the cell.
+func mergeIndirect(s *memberState, row MemberRow) {
 	switch {
 	case s == nil:
 	case row.Incarnation > s.row.Incarnation:
 		row.Counter = 0
 		s.row = row
-		s.heard, s.since = time.Time{}, time.Time{} // the former life's
+		s.updatedAt, s.liveSince = time.Time{}, time.Time{} // both belong to the former incarnation
 	case row.Incarnation == s.row.Incarnation && row.Leaving && !s.row.Leaving:
 		s.row.Leaving = true
-		s.times = 0
+		s.relayCount = 0
 	}
 }
 
-// mergeCounter merges a row of the incarnation that is known.
-func (t *Table) mergeCounter(now time.Time, from string, s *state, row MemberRow) {
+// mergeCounter merges a row of the known incarnation. A higher counter shows
+// that the entry is live. Leaving never reverts. A new Leaving mark without a
+// higher counter restarts the relay count.
+func (t *Table) mergeCounter(now time.Time, from string, s *memberState, row MemberRow) {
 	leaving := s.row.Leaving || row.Leaving
 	if row.Counter > s.row.Counter {
-		if !t.alive(now, s) {
-			s.since = now
+		if !t.isLive(now, s) {
+			s.liveSince = now
 		}
 		row.Version = max(row.Version, s.row.Version)
 		s.row = row
-		s.heard = now
+		s.updatedAt = now
 		s.source = from
 		s.renew(now, t.cfg)
 	}
 	if leaving && !s.row.Leaving {
-		s.times = 0
+		s.relayCount = 0
 	}
 	s.row.Leaving = leaving
 }
 
-// mergeSelf reads what another entry knows of this one.
+// mergeSelf merges a row about this entry as another one knows it. A higher
+// incarnation, or a higher counter of this one, comes from another process with
+// the same name. Any other row of this incarnation acknowledges the heartbeat
+// with its counter.
 func (t *Table) mergeSelf(now time.Time, from string, row MemberRow) {
 	switch {
 	case row.Incarnation > t.self.Incarnation:
-		t.successor = max(t.successor, row.Incarnation)
+		t.supersededBy = max(t.supersededBy, row.Incarnation)
 	case row.Incarnation < t.self.Incarnation:
 	case row.Counter > t.self.Counter:
-		t.successor = max(t.successor, row.Incarnation)
+		t.supersededBy = max(t.supersededBy, row.Incarnation)
 	default:
-		t.acknowledge(now, from, row.Counter)
+		t.recordAck(now, from, row.Counter)
 	}
 }
 
-func (t *Table) newState(now time.Time, from string, row MemberRow) *state {
-	mate := t.dir.sameCell(t.self.Name, row.Name)
-	return &state{row: row, heard: now, since: now, source: from, mate: mate}
+func (t *Table) newState(now time.Time, from string, row MemberRow) *memberState {
+	inCell := t.dir.sameCell(t.self.Name, row.Name)
+	return &memberState{row: row, updatedAt: now, liveSince: now, source: from, inCell: inCell}
 }
 
-// mayAdd says whether a new member is of use here and there is room for it.
-func (t *Table) mayAdd(row MemberRow) bool {
+// shouldAdd says whether the row of an unknown member is to be kept: a listed
+// one if its place is followed, another one while the table is below its bound.
+func (t *Table) shouldAdd(row MemberRow) bool {
 	if _, listed := t.dir.byName[row.Name]; listed {
 		return t.follows(row.Place)
 	}
 	return len(t.members) < len(t.dir.byName)+t.cfg.MaxUnlisted
 }
 
-// compose makes a heartbeat for the entry to. For a reply, request holds what
-// that entry has just sent.
+// compose builds a heartbeat for the entry to. For a reply, request is the
+// heartbeat that to has just sent; otherwise it is nil. The second row is that
+// of to, if known: its counter acknowledges the heartbeats received from to.
 func (t *Table) compose(now time.Time, to string, request *Heartbeat) Heartbeat {
 	hb := Heartbeat{From: t.self.Name, Members: []MemberRow{t.self}}
 	if s, ok := t.members[to]; ok {
-		hb.Members = append(hb.Members, t.pack(s.row))
+		hb.Members = append(hb.Members, t.packRow(s.row))
 	}
-	for _, s := range t.candidates(now, to, request) {
-		s.relayed(t.self.Counter)
-		hb.Members = append(hb.Members, t.pack(s.row))
+	for _, s := range t.relayCandidates(now, to, request) {
+		s.recordRelay(t.self.Counter)
+		hb.Members = append(hb.Members, t.packRow(s.row))
 	}
 	hb.Groups = t.groupRows(now, to, request)
 	return hb
 }
 
-// pack leaves the place out of a row of the own place.
-func (t *Table) pack(row MemberRow) MemberRow {
+// packRow leaves out the place of a row if it is this entry's place.
+func (t *Table) packRow(row MemberRow) MemberRow {
 	if row.Place == t.self.Place {
 		row.Place = ""
 	}
 	return row
 }
 
-// candidates picks the rows that are of most use to the entry to: those of the
-// own cell, then those that were passed on longest ago.
-func (t *Table) candidates(now time.Time, to string, request *Heartbeat) []*state {
-	room := t.cfg.MaxRows - 2
-	if len(t.dir.byName) > smallSystem {
-		room /= 2
+// relayCandidates returns the member rows to relay to the entry to, without
+// those that it is known to have. For an entry of the own cell the rows of the
+// cell come first, then those that were relayed least recently. compose adds
+// two more rows to the heartbeat.
+func (t *Table) relayCandidates(now time.Time, to string, request *Heartbeat) []*memberState {
+	limit := t.cfg.MaxRows - 2
+	if len(t.dir.byName) > smallSystemEntries {
+		limit /= 2
 	}
-	has := countersOf(request)
-	var list []*state
+	has := rowOrders(request)
+	var list []*memberState
 	for name, s := range t.members {
-		if name == to || s.source == to || !s.due(t.cfg) || !t.worthPassing(now, s) {
+		if name == to || s.source == to || !s.mayRelay(t.cfg) || !t.recentEnough(now, s) {
 			continue
 		}
 		if known, ok := has[name]; ok && known.covers(s.row) {
@@ -183,20 +197,21 @@
 		}
 		list = append(list, s)
 	}
-	mate := t.dir.sameCell(t.self.Name, to)
-	slices.SortFunc(list, func(a, b *state) int { return compareRows(mate, a, b) })
-	if len(list) > room {
-		list = list[:room]
+	inCell := t.dir.sameCell(t.self.Name, to)
+	slices.SortFunc(list, func(a, b *memberState) int { return compareRows(inCell, a, b) })
+	if len(list) > limit {
+		list = list[:limit]
 	}
 	return list
 }
 
-// compareRows orders rows for passing on.
-func compareRows(mate bool, a, b *state) int {
-	if mate && a.mate != b.mate {
-		return cmp.Compare(boolRank(b.mate), boolRank(a.mate))
+// compareRows orders rows for relaying. With inCell, rows of the own cell come
+// first.
+func compareRows(inCell bool, a, b *memberState) int {
+	if inCell && a.inCell != b.inCell {
+		return cmp.Compare(boolRank(b.inCell), boolRank(a.inCell))
 	}
-	if c := cmp.Compare(a.sent, b.sent); c != 0 {
+	if c := cmp.Compare(a.lastRelayed, b.lastRelayed); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.row.Name, b.row.Name)
@@ -209,17 +224,19 @@
 	return 0
 }
 
-// worthPassing says whether a row is recent enough to be passed on.
-func (t *Table) worthPassing(now time.Time, s *state) bool {
-	return now.Sub(s.heard) < t.cfg.SuspectAfter/2 || s.row.Leaving && t.alive(now, s)
+// recentEnough says whether a row may still be relayed: its counter rose
+// recently, or its entry is leaving and still live.
+func (t *Table) recentEnough(now time.Time, s *memberState) bool {
+	return now.Sub(s.updatedAt) < t.cfg.SuspectAfter/2 || s.row.Leaving && t.isLive(now, s)
 }
 
-// rowOrder is the incarnation and counter of a row.
+// rowOrder holds the fields of a row that decide whether another is newer.
 type rowOrder struct {
 	incarnation, counter uint64
 	leaving              bool
 }
 
+// covers says whether row adds nothing to the row that o describes.
 func (o rowOrder) covers(row MemberRow) bool {
 	if o.incarnation != row.Incarnation {
 		return o.incarnation > row.Incarnation
@@ -227,7 +244,8 @@
 	return o.counter >= row.Counter && o.leaving == row.Leaving
 }
 
-func countersOf(hb *Heartbeat) map[string]rowOrder {
+// rowOrders returns the order of each member row in a heartbeat, by name.
+func rowOrders(hb *Heartbeat) map[string]rowOrder {
 	if hb == nil {
 		return nil
 	}
--- a/internal/core/membership/groups.go
+++ b/internal/core/membership/groups.go
@@ -6,24 +6,28 @@
 	"time"
 )
 
-// groupKeepFor is how many suspicion times a group's row is kept.
-const groupKeepFor = 5
+// groupExpiryFactor is the age at which a group's row is deleted, in multiples
+// of the time after which its owner is no longer live.
+const groupExpiryFactor = 5
 
-// groupsPerSpot bounds the rows of groups held, for each place or cell that
-// heartbeats go to.
-const groupsPerSpot = 64
+// groupsPerPeerSet bounds the group rows held, for each peer set and the own
+// cell.
+const groupsPerPeerSet = 64
 
 // groupKey identifies a group.
 type groupKey struct{ service, place string }
 
-// groupState is the newest row of a group.
+// groupState holds the newest row of a group.
 type groupState struct {
-	row    GroupRow
-	heard  time.Time
+	row GroupRow
+	// updatedAt is when the row was received, or set by this entry as the
+	// owner.
+	updatedAt time.Time
+	// source names the sender of the row; empty for an own row.
 	source string
-	// released marks an own row that SetGroups hasn't named again. It is kept,
-	// and not passed on, until another owner's row comes in: the group has
-	// endpoints still.
+	// released marks an own row that the last SetGroups did not contain. It is
+	// kept, but not relayed, until the row of another owner replaces it,
+	// because the group still has endpoints.
 	released bool
 	relay
 }
@@ -31,7 +35,7 @@
 // SetGroups replaces the rows of the groups that this entry owns. The table
 // fills in the owner, its incarnation and the counter.
 func (t *Table) SetGroups(now time.Time, own []GroupRow) {
-	t.begin(now)
+	t.markStarted(now)
 	if now.Sub(t.groupsAt) >= t.cfg.RelayPeriod {
 		t.groupCounter++
 		t.groupsAt = now
@@ -46,7 +50,7 @@
 	}
 }
 
-// setGroup puts a row of this entry's own in place of what is held.
+// setGroup replaces the row held of a group by one of this entry's own.
 func (t *Table) setGroup(now time.Time, row GroupRow) {
 	row.Owner = t.self.Name
 	row.OwnerIncarnation = t.self.Incarnation
@@ -61,23 +65,24 @@
 		g.renew(now, t.cfg)
 	}
 	g.row = row
-	g.heard = now
+	g.updatedAt = now
 	g.released = false
 }
 
-// Group returns the newest row of a group and the time since it came in; it is
-// false when there is none.
+// Group returns the newest row of a group and the time since it was received or
+// set; false means that no row is held.
 func (t *Table) Group(now time.Time, service, place string) (GroupRow, time.Duration, bool) {
 	g, ok := t.groups[groupKey{service, place}]
 	if !ok {
 		return GroupRow{}, 0, false
 	}
-	return g.row, max(0, now.Sub(g.heard)), true
+	return g.row, max(0, now.Sub(g.updatedAt)), true
 }
 
-// mergeGroup takes a group's row over if it is newer or of a better owner.
+// mergeGroup merges a group's row from another entry. It takes over a newer row
+// of the same owner, and the row of another owner if replacesOwner permits it.
 func (t *Table) mergeGroup(now time.Time, from string, row GroupRow) {
-	if row.Owner == t.self.Name || !t.follows(row.Place) || !t.listed(row.Owner) {
+	if row.Owner == t.self.Name || !t.follows(row.Place) || !t.isListed(row.Owner) {
 		return
 	}
 	if known, ok := t.KnownIncarnation(row.Owner); ok && row.OwnerIncarnation < known {
@@ -91,10 +96,10 @@
 			return
 		}
 	case g.row.Owner == row.Owner:
-		if !newerGroup(row, g.row) {
+		if !isNewerGroup(row, g.row) {
 			return
 		}
-	case !t.ownerChanged(now, g, row):
+	case !t.replacesOwner(now, g, row):
 		return
 	}
 	if !ok || g.row.Owner == t.self.Name {
@@ -102,53 +107,58 @@
 		t.groups[key] = g
 	}
 	g.row = row
-	g.heard = now
+	g.updatedAt = now
 	g.source = from
 	g.renew(now, t.cfg)
 }
 
 // maxGroupRows bounds the group rows that a table holds.
-func (t *Table) maxGroupRows() int { return groupsPerSpot * (len(t.spots) + 1) }
+func (t *Table) maxGroupRows() int { return groupsPerPeerSet * (len(t.peerSets) + 1) }
 
-func newerGroup(a, b GroupRow) bool {
+// isNewerGroup says whether row a of an owner is newer than row b of the same
+// owner.
+func isNewerGroup(a, b GroupRow) bool {
 	if a.OwnerIncarnation != b.OwnerIncarnation {
 		return a.OwnerIncarnation > b.OwnerIncarnation
 	}
 	return a.Counter > b.Counter
 }
 
-// ownerChanged says whether a row of another owner replaces the one held.
-func (t *Table) ownerChanged(now time.Time, g *groupState, row GroupRow) bool {
-	if s, known := t.members[g.row.Owner]; known && (!t.alive(now, s) || s.row.Leaving) {
+// replacesOwner says whether the row of another owner replaces the one held:
+// when the owner in the row held is unresponsive or leaving, when that row is
+// stale, or when rendezvous hashing chooses the new owner.
+func (t *Table) replacesOwner(now time.Time, g *groupState, row GroupRow) bool {
+	if s, known := t.members[g.row.Owner]; known && (!t.isLive(now, s) || s.row.Leaving) {
 		return true
 	}
-	if now.Sub(g.heard) >= t.cfg.SuspectAfter {
+	if now.Sub(g.updatedAt) >= t.cfg.SuspectAfter {
 		return true
 	}
-	owner, ok := t.ranked(now, row.Service, row.Place)
+	owner, ok := t.rendezvousOwner(now, row.Service, row.Place)
 	return ok && owner.Name == row.Owner
 }
 
-// dropGroups forgets rows of groups that nobody speaks for any more.
-func (t *Table) dropGroups(now time.Time) {
+// expireGroups deletes the group rows that have not been renewed for a long
+// time.
+func (t *Table) expireGroups(now time.Time) {
 	for key, g := range t.groups {
-		if now.Sub(g.heard) >= groupKeepFor*t.suspectAfter(g.row.Owner) {
+		if now.Sub(g.updatedAt) >= groupExpiryFactor*t.suspectAfter(g.row.Owner) {
 			delete(t.groups, key)
 		}
 	}
 }
 
-// groupRows picks the rows of groups for a heartbeat: the own ones, then for
-// another place those of the own place, each in the order in which they were
-// last passed on.
+// groupRows returns the group rows for a heartbeat: those that this entry owns,
+// then for an entry of another place those of the own place, then the others.
+// Within each class the least recently relayed come first.
 func (t *Table) groupRows(now time.Time, to string, request *Heartbeat) []GroupRow {
-	list := t.groupCandidates(now, to, request)
+	list := t.groupRelayCandidates(now, to, request)
 	peer, _ := t.dir.Peer(to)
 	outside := peer.Place != t.self.Place
 	slices.SortFunc(list, func(a, b *groupState) int {
 		return cmp.Or(
-			cmp.Compare(t.nearness(b, outside), t.nearness(a, outside)),
-			cmp.Compare(a.sent, b.sent),
+			cmp.Compare(t.relayPriority(b, outside), t.relayPriority(a, outside)),
+			cmp.Compare(a.lastRelayed, b.lastRelayed),
 			cmp.Compare(a.row.Place, b.row.Place),
 			cmp.Compare(a.row.Service, b.row.Service),
 		)
@@ -158,19 +168,19 @@
 	}
 	rows := make([]GroupRow, 0, len(list))
 	for _, g := range list {
-		g.relayed(t.self.Counter)
+		g.recordRelay(t.self.Counter)
 		rows = append(rows, t.packGroup(g.row))
 	}
 	return rows
 }
 
-// nearness orders rows: own ones, those of the own place for another place, and
-// all others.
-func (t *Table) nearness(g *groupState, outside bool) int {
+// relayPriority returns a higher number for rows to relay first: those that
+// this entry owns, then with outside those of the own place.
+func (t *Table) relayPriority(g *groupState, outside bool) int {
 	return 2*boolRank(g.row.Owner == t.self.Name) + boolRank(outside && g.row.Place == t.self.Place)
 }
 
-// packGroup leaves out what the sender's own row says.
+// packGroup leaves out the place and the owner where they are the sender's own.
 func (t *Table) packGroup(row GroupRow) GroupRow {
 	if row.Place == t.self.Place {
 		row.Place = ""
@@ -182,7 +192,7 @@
 	return row
 }
 
-// unpackGroup undoes packGroup.
+// unpackGroup reverts packGroup, using the first member row of the heartbeat.
 func unpackGroup(row GroupRow, hb Heartbeat) GroupRow {
 	if len(hb.Members) == 0 {
 		return row
@@ -198,9 +208,10 @@
 	return row
 }
 
-// groupCandidates are the rows of others that are recent and that the entry to
-// doesn't have.
-func (t *Table) groupCandidates(now time.Time, to string, request *Heartbeat) []*groupState {
+// groupRelayCandidates returns the group rows that may be relayed to the entry
+// to: recent ones that are not its own, were not received from it, and are
+// newer than those in its request.
+func (t *Table) groupRelayCandidates(now time.Time, to string, request *Heartbeat) []*groupState {
 	has := make(map[groupKey]GroupRow)
 	if request != nil {
 		for _, row := range request.Groups {
@@ -210,13 +221,13 @@
 	}
 	var list []*groupState
 	for key, g := range t.groups {
-		if g.released || g.row.Owner == to || g.source == to || !g.due(t.cfg) {
+		if g.released || g.row.Owner == to || g.source == to || !g.mayRelay(t.cfg) {
 			continue
 		}
-		if now.Sub(g.heard) >= t.cfg.SuspectAfter {
+		if now.Sub(g.updatedAt) >= t.cfg.SuspectAfter {
 			continue
 		}
-		if known, ok := has[key]; ok && known.Owner == g.row.Owner && !newerGroup(g.row, known) {
+		if known, ok := has[key]; ok && known.Owner == g.row.Owner && !isNewerGroup(g.row, known) {
 			continue
 		}
 		list = append(list, g)
--- a/internal/core/membership/liveness.go
+++ b/internal/core/membership/liveness.go
@@ -7,94 +7,101 @@
 	"time"
 )
 
-// smallSystem is the number of entries up to which every entry follows all.
-const smallSystem = 24
+// smallSystemEntries is the number of listed entries up to which every entry
+// follows all others. In a larger system heartbeats relay half as many rows,
+// and outside the cell an entry relies on the rotation over the peer sets.
+const smallSystemEntries = 24
 
-// wake notices that this entry's own loop stood still for longer than the
-// lease. The silence of others in that time was this entry's own, so their
-// times move on by the gap, and this entry counts as just started.
-func (t *Table) wake(now time.Time) {
-	base := t.awakeAt()
+// detectStall handles a stall: this entry's own loop did not run for longer
+// than the lease. The heartbeats that it missed in that time say nothing about
+// the others, so the times of the members that were live and of the groups move
+// on by the gap, and this entry counts as just started.
+func (t *Table) detectStall(now time.Time) {
+	base := t.lastRun()
 	if base.IsZero() || now.Sub(base) <= t.cfg.Lease {
 		return
 	}
 	gap := now.Sub(base)
 	for _, s := range t.members {
-		if t.aliveAt(base, s) {
-			s.heard = s.heard.Add(gap)
+		if t.isLiveAt(base, s) {
+			s.updatedAt = s.updatedAt.Add(gap)
 		}
 	}
 	for _, g := range t.groups {
-		g.heard = g.heard.Add(gap)
+		g.updatedAt = g.updatedAt.Add(gap)
 	}
-	t.resumed = now
-	t.started = now
-	t.acked = time.Time{}
-	t.hears = now
+	t.resumedAt = now
+	t.startedAt = now
+	t.lastAcked = time.Time{}
+	t.cellLiveSince = now
 }
 
-// awakeAt is the last time at which the own loop is known to have run.
-func (t *Table) awakeAt() time.Time {
-	if t.resumed.After(t.lastTick) {
-		return t.resumed
+// lastRun is the time of the last Tick, or of a stall detected after it.
+func (t *Table) lastRun() time.Time {
+	if t.resumedAt.After(t.lastTick) {
+		return t.resumedAt
 	}
 	return t.lastTick
 }
 
-// viewTime is the time up to which silence of others means anything.
-func (t *Table) viewTime(now time.Time) time.Time {
-	base := t.awakeAt()
+// livenessTime is the time at which the liveness of others is judged: now, or
+// after an unhandled stall the last time at which the loop ran.
+func (t *Table) livenessTime(now time.Time) time.Time {
+	base := t.lastRun()
 	if !base.IsZero() && now.Sub(base) > t.cfg.Lease {
 		return base
 	}
 	return now
 }
 
-// acknowledge records that the cell has the own heartbeat with this counter.
-func (t *Table) acknowledge(now time.Time, from string, counter uint64) {
+// recordAck records that a member of the cell has received this entry's
+// heartbeat with this counter. Acknowledgements from outside the cell, and of
+// heartbeats sent before a stall or too long ago, do not count.
+func (t *Table) recordAck(now time.Time, from string, counter uint64) {
 	if !t.dir.sameCell(t.self.Name, from) || t.self.Counter-counter >= historyTicks {
 		return
 	}
 	sent := t.sentAt[counter%historyTicks]
-	if !sent.After(t.acked) || sent.Before(t.resumed) {
+	if !sent.After(t.lastAcked) || sent.Before(t.resumedAt) {
 		return
 	}
 	if t.unacknowledged(now) {
-		t.started = now
+		t.startedAt = now
 	}
-	t.acked = sent
+	t.lastAcked = sent
 }
 
-// noteHearing keeps the time since which the cell has been heard. A member that
-// leaves takes nothing over, so that its silence means nothing.
-func (t *Table) noteHearing(now time.Time) {
+// updateCellContact maintains cellLiveSince, the time since which the cell has
+// had a live member. A leaving member takes over no groups, so its
+// acknowledgements are not required.
+func (t *Table) updateCellContact(now time.Time) {
 	for _, i := range t.cell {
-		if s, ok := t.members[t.dir.peers[i].Name]; ok && !s.row.Leaving && t.alive(now, s) {
-			if t.hears.IsZero() {
-				t.hears = now
+		if s, ok := t.members[t.dir.peers[i].Name]; ok && !s.row.Leaving && t.isLive(now, s) {
+			if t.cellLiveSince.IsZero() {
+				t.cellLiveSince = now
 			}
 			return
 		}
 	}
-	t.hears = time.Time{}
+	t.cellLiveSince = time.Time{}
 }
 
-// unacknowledged says that this entry hears its cell, but that the cell hasn't
-// heard it for a lease.
+// unacknowledged says that the cell has live members, but that none has
+// acknowledged a heartbeat of this entry for longer than a lease.
 func (t *Table) unacknowledged(now time.Time) bool {
-	if t.hears.IsZero() {
+	if t.cellLiveSince.IsZero() {
 		return false
 	}
-	last := t.hears
-	if t.acked.After(last) {
-		last = t.acked
+	last := t.cellLiveSince
+	if t.lastAcked.After(last) {
+		last = t.lastAcked
 	}
 	return now.Sub(last) > t.cfg.Lease
 }
 
-// Fenced says whether this entry must not act as an owner: its loop has
-// stalled, its cell doesn't hear it, or another process has its name with a
-// higher incarnation.
+// Fenced says whether this entry must not act as an owner: its loop has stalled
+// or not run yet, the live members of its cell do not acknowledge its
+// heartbeats, or another process supersedes it.
 func (t *Table) Fenced(now time.Time) bool {
 	if t.lastTick.IsZero() || now.Sub(t.lastTick) > t.cfg.Lease {
 		return true
@@ -103,41 +110,44 @@
 }
 
 // Superseded says whether another process with this entry's name has been seen
-// with a higher incarnation, or with this one and a higher counter. Nothing
-// that this entry says is believed then; it must restart with a higher one.
-func (t *Table) Superseded() bool { return t.successor > 0 }
+// with a higher incarnation, or with this one and a higher counter. Other
+// entries then ignore this entry's rows as outdated; it must restart with a
+// higher incarnation.
+func (t *Table) Superseded() bool { return t.supersededBy > 0 }
 
-// alive says whether a member is still heard.
-func (t *Table) alive(now time.Time, s *state) bool {
-	return t.aliveAt(t.viewTime(now), s)
+// isLive says whether the last update of a member is recent enough.
+func (t *Table) isLive(now time.Time, s *memberState) bool {
+	return t.isLiveAt(t.livenessTime(now), s)
 }
 
-func (t *Table) aliveAt(at time.Time, s *state) bool {
-	return at.Sub(s.heard) < t.suspectAfter(s.row.Name)
+func (t *Table) isLiveAt(at time.Time, s *memberState) bool {
+	return at.Sub(s.updatedAt) < t.suspectAfter(s.row.Name)
 }
 
-// suspectAfter is the silence after which a member isn't live. Outside the own
-// cell it is longer: in a small system by the rounds in which a row reaches
-// everyone, and by two turns of the rotation otherwise.
+// suspectAfter is the time without an update after which a member is no longer
+// live. Outside the own cell it is longer: in a small system by the periods in
+// which a row reaches every entry, otherwise by two rotations over the peer
+// sets.
 func (t *Table) suspectAfter(name string) time.Duration {
 	if t.dir.sameCell(t.self.Name, name) {
 		return t.cfg.SuspectAfter
 	}
-	return t.cfg.SuspectAfter + time.Duration(t.farRounds)*t.cfg.Period
+	return t.cfg.SuspectAfter + time.Duration(t.outsideDelay)*t.cfg.Period
 }
 
-// roundsOutside returns the periods that a row from outside the own cell may
-// be late.
-func (t *Table) roundsOutside() int {
-	if len(t.dir.byName) <= smallSystem {
+// outsideDelayPeriods returns the number of periods by which a row from outside
+// the own cell may be late.
+func (t *Table) outsideDelayPeriods() int {
+	if len(t.dir.byName) <= smallSystemEntries {
 		return 3 * bits.Len(uint(len(t.dir.byName))) / 2
 	}
 	perPeriod := max(1, t.cfg.FanOut-min(t.cfg.CellFanOut, len(t.cell)))
-	return 2 * ((len(t.spots) + perPeriod - 1) / perPeriod)
+	return 2 * ((len(t.peerSets) + perPeriod - 1) / perPeriod)
 }
 
-// listed says whether a name may be live: all may while there are no peers.
-func (t *Table) listed(name string) bool {
+// isListed says whether an entry may be live: any may while no entries are
+// listed, otherwise this entry and the listed ones.
+func (t *Table) isListed(name string) bool {
 	if len(t.dir.byName) == 0 || name == t.self.Name {
 		return true
 	}
@@ -146,12 +156,12 @@
 }
 
 // Live returns the live members of a place, sorted by name. It includes this
-// entry while it isn't fenced, and leaves out members that are leaving.
+// entry unless it is fenced, and leaves out members that are leaving.
 func (t *Table) Live(now time.Time, place string) []Member {
 	return t.list(now, place, false)
 }
 
-// LiveOrLeaving is Live with the members that are leaving.
+// LiveOrLeaving is Live including the members that are leaving.
 func (t *Table) LiveOrLeaving(now time.Time, place string) []Member {
 	return t.list(now, place, true)
 }
@@ -180,23 +190,24 @@
 	return live
 }
 
-// Member returns a member that is live, or leaving and still in reach.
+// Member returns a live member, which may be leaving. This entry itself is live
+// unless it is fenced.
 func (t *Table) Member(now time.Time, name string) (Member, bool) {
 	if name == t.self.Name {
 		return memberOf(t.self), !t.Fenced(now)
 	}
 	s, ok := t.members[name]
-	if !ok || !t.listed(name) || !t.alive(now, s) {
+	if !ok || !t.isListed(name) || !t.isLive(now, s) {
 		return Member{}, false
 	}
 	return memberOf(s.row), true
 }
 
-// KnownIncarnation returns the highest incarnation ever seen of an entry, also
-// when it is no longer live.
+// KnownIncarnation returns the highest incarnation ever seen of an entry,
+// including one that is no longer live; false means that the entry is unknown.
 func (t *Table) KnownIncarnation(name string) (uint64, bool) {
 	if name == t.self.Name {
-		return max(t.self.Incarnation, t.successor), true
+		return max(t.self.Incarnation, t.supersededBy), true
 	}
 	s, ok := t.members[name]
 	if !ok {
@@ -205,18 +216,18 @@
 	return s.row.Incarnation, true
 }
 
-// NewestVersion returns the highest version above the own one among the
-// members in reach, and the nearest member that has it: of the own place
-// first, then of the own region.
+// NewestVersion returns the highest document version above the own one among
+// the live members, and the nearest member that has it: of the own place first,
+// then of the own region. False means that none has a higher one.
 func (t *Table) NewestVersion(now time.Time) (version uint64, from Member, ok bool) {
 	for name, s := range t.members {
-		if s.row.Version <= t.self.Version || s.row.Version < version || !t.alive(now, s) {
+		if s.row.Version <= t.self.Version || s.row.Version < version || !t.isLive(now, s) {
 			continue
 		}
 		if _, listed := t.dir.byName[name]; !listed && len(t.dir.byName) > 0 {
 			continue
 		}
-		if s.row.Version > version || t.nearer(s.row, from) {
+		if s.row.Version > version || t.isNearer(s.row, from) {
 			version = s.row.Version
 			from = memberOf(s.row)
 			ok = true
@@ -225,8 +236,9 @@
 	return version, from, ok
 }
 
-// nearer orders two members by their distance from this entry.
-func (t *Table) nearer(row MemberRow, than Member) bool {
+// isNearer says whether the entry of a row is nearer to this entry than
+// another; at the same distance the lower name counts as nearer.
+func (t *Table) isNearer(row MemberRow, than Member) bool {
 	a := t.distance(row.Place)
 	b := t.distance(than.Place)
 	if a != b {
@@ -235,6 +247,7 @@
 	return row.Name < than.Name
 }
 
+// distance is 0 for the own place, 1 for the own region and 2 for all others.
 func (t *Table) distance(place string) int {
 	region := t.dir.region[t.self.Place]
 	switch {
--- a/internal/core/membership/net_test.go
+++ b/internal/core/membership/net_test.go
@@ -9,19 +9,20 @@
 
 const period = 500 * time.Millisecond
 
-// network carries heartbeats between tables in simulated time.
+// network delivers heartbeats between tables in simulated time.
 type network struct {
 	now    time.Time
 	tables map[string]*membership.Table
 	order  []string
 	peers  []membership.Peer
 	cfg    membership.Config
-	// frozen tables neither tick nor answer; cut drops one direction.
+	// frozen tables neither tick nor reply; cut says whether a message is lost.
 	frozen map[string]bool
 	cut    func(from, to string) bool
-	// observe is called after each tick, tap with every heartbeat.
-	observe func()
-	tap     func(membership.Heartbeat)
+	// afterStep is called after each step, onHeartbeat with every heartbeat
+	// sent.
+	afterStep   func()
+	onHeartbeat func(membership.Heartbeat)
 }
 
 func newNetwork(cfg membership.Config, places map[string][]string, perPlace int) *network {
@@ -70,8 +71,8 @@
 			if n.up(name) {
 				n.tick(name)
 			}
-			if n.observe != nil {
-				n.observe()
+			if n.afterStep != nil {
+				n.afterStep()
 			}
 		}
 		n.now = begin.Add(period)
@@ -80,13 +81,13 @@
 
 func (n *network) tick(name string) {
 	var own []membership.GroupRow
-	if n.tables[name].OwnsSelf(n.now, service, home) {
-		own = []membership.GroupRow{{Service: service, Place: home, Endpoints: 4}}
+	if n.tables[name].OwnsSelf(n.now, service, homePlace) {
+		own = []membership.GroupRow{{Service: service, Place: homePlace, Endpoints: 4}}
 	}
 	n.tables[name].SetGroups(n.now, own)
 	for _, target := range n.tables[name].Tick(n.now) {
-		if n.tap != nil {
-			n.tap(target.Heartbeat)
+		if n.onHeartbeat != nil {
+			n.onHeartbeat(target.Heartbeat)
 		}
 		to := target.Peer.Name
 		if !n.up(to) || n.cut(name, to) {
--- a/internal/core/membership/owner.go
+++ b/internal/core/membership/owner.go
@@ -8,11 +8,12 @@
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
-	// representativeKey stands for the service in the choice of the entry that
-	// speaks for its place; no service has this name.
+	// representativeKey is used in place of the service to choose the
+	// representative of a place; no service has this name.
 	representativeKey = "\x00representative"
-	// settlePeriods is how many periods beyond a lease a started entry waits
-	// before it owns, so that the former owner has heard of it.
+	// settlePeriods is how many periods beyond a lease an entry waits after its
+	// start before it owns groups, so that the former owner has received its
+	// row.
 	settlePeriods = 2
 )
 
@@ -31,8 +32,9 @@
 	return h ^ (h >> 31)
 }
 
-// rank orders the entries that may own a group: a lower tier first, then the
-// higher weight of the cell, then the higher weight of the entry.
+// rank orders the entries that may own a group: the lower tier first, then the
+// higher weight of the cell, then the higher weight of the entry, then the
+// lower name.
 type rank struct {
 	tier         int
 	cell, member uint64
@@ -52,8 +54,8 @@
 	return r.name < other.name
 }
 
-// eachCandidate calls f with every entry that may own the group: the place's
-// entries, and in the second tier those of the rest of its region.
+// eachCandidate calls f with every entry that may own the group: in tier 0 the
+// entries of its place, in tier 1 those of the other places of its region.
 func (t *Table) eachCandidate(service, place string, f func(rank)) {
 	t.eachOfPlace(service, place, place, 0, f)
 	for _, other := range t.dir.regionPlaces(place) {
@@ -61,11 +63,13 @@
 	}
 }
 
-func (t *Table) eachOfPlace(service, place, home string, tier int, f func(rank)) {
+// eachOfPlace calls f with every entry of entryPlace, ranked for the group of a
+// service in place.
+func (t *Table) eachOfPlace(service, place, entryPlace string, tier int, f func(rank)) {
 	selfListed := false
-	for k, cell := range t.dir.places[home] {
+	for k, cell := range t.dir.places[entryPlace] {
 		weight := uint64(0)
-		if len(t.dir.places[home]) > 1 {
+		if len(t.dir.places[entryPlace]) > 1 {
 			weight = hashOf(service, place, "\x00cell"+strconv.Itoa(k))
 		}
 		for _, i := range cell {
@@ -74,21 +78,22 @@
 			f(rank{tier, weight, hashOf(service, place, name), name})
 		}
 	}
-	if home == t.self.Place && !selfListed {
+	if entryPlace == t.self.Place && !selfListed {
 		f(rank{tier, 0, hashOf(service, place, t.self.Name), t.self.Name})
 	}
 	if len(t.dir.byName) > 0 {
 		return
 	}
 	for name, s := range t.members {
-		if s.row.Place == home {
+		if s.row.Place == entryPlace {
 			f(rank{tier, 0, hashOf(service, place, name), name})
 		}
 	}
 }
 
-// choose returns the first candidate that is live and not named except.
-// Members that have been live for a lease go before those that have just come.
+// choose returns the first candidate that is live, not leaving and not named
+// except. Within a tier, settled members come before those that have just
+// become live.
 func (t *Table) choose(now time.Time, service, place, except string) (Member, bool) {
 	var best rank
 	var bestSettled bool
@@ -103,7 +108,7 @@
 			return
 		}
 		settled := t.settled(now, r.name)
-		if found && !ahead(r, settled, best, bestSettled) {
+		if found && !precedes(r, settled, best, bestSettled) {
 			return
 		}
 		best, bestSettled, chosen, found = r, settled, m, true
@@ -111,8 +116,9 @@
 	return chosen, found
 }
 
-// ahead orders two live candidates: by tier, then settled ones first.
-func ahead(a rank, aSettled bool, b rank, bSettled bool) bool {
+// precedes orders two live candidates: by tier, then settled ones first, then
+// by rank.
+func precedes(a rank, aSettled bool, b rank, bSettled bool) bool {
 	if a.tier == b.tier && aSettled != bSettled {
 		return aSettled
 	}
@@ -120,18 +126,19 @@
 }
 
 // settled says whether a live member has been live for a lease, so that the
-// entry that stood in for it has given way. An entry that has just started can't
-// tell, and takes every other one for settled: it owns nothing itself.
+// entry that owned its groups in the meantime has given them up. An entry that
+// has just started cannot know this. It treats all others as settled, and owns
+// nothing itself.
 func (t *Table) settled(now time.Time, name string) bool {
 	if name == t.self.Name {
 		return t.settledSelf(now)
 	}
 	s, ok := t.members[name]
-	return ok && (now.Sub(s.since) >= t.cfg.Lease || !t.settledSelf(now))
+	return ok && (now.Sub(s.liveSince) >= t.cfg.Lease || !t.settledSelf(now))
 }
 
 func (t *Table) settledSelf(now time.Time) bool {
-	return !t.started.IsZero() && now.Sub(t.started) >= t.settleTime()
+	return !t.startedAt.IsZero() && now.Sub(t.startedAt) >= t.settleTime()
 }
 
 // settleTime is how long after its start an entry owns nothing.
@@ -139,34 +146,36 @@
 	return t.cfg.Lease + settlePeriods*t.cfg.Period
 }
 
-// ranked is the owner by rendezvous hashing.
-func (t *Table) ranked(now time.Time, service, place string) (Member, bool) {
+// rendezvousOwner returns the owner by rendezvous hashing alone.
+func (t *Table) rendezvousOwner(now time.Time, service, place string) (Member, bool) {
 	return t.choose(now, service, place, "")
 }
 
 // Owner returns the entry that owns a group: the first by rendezvous hashing
-// over the place's live entries, or over its region's when the place has none.
-// Outside the own cell, what the group's acting owner says goes first.
+// over the place's live entries, or over those of its region when the place has
+// none. The owner that a recent row of the group names takes precedence, unless
+// the own cell is the whole place.
 func (t *Table) Owner(now time.Time, service, place string) (Member, bool) {
-	if m, ok := t.stated(now, service, place); ok {
+	if m, ok := t.reportedOwner(now, service, place); ok {
 		return m, true
 	}
-	return t.ranked(now, service, place)
+	return t.rendezvousOwner(now, service, place)
 }
 
-// stated returns the owner that a group's own recent row names, unless this
-// entry's cell is the whole place. The row shows that the owner lives, also
-// when it isn't among the members that this entry follows.
-func (t *Table) stated(now time.Time, service, place string) (Member, bool) {
+// reportedOwner returns the owner that a recent row of the group names, unless
+// the group is in this entry's place and the own cell is the whole place. The
+// row shows that the owner is live, even if it is not among the members that
+// this entry follows.
+func (t *Table) reportedOwner(now time.Time, service, place string) (Member, bool) {
 	if place == t.self.Place && len(t.dir.places[place]) < 2 {
 		return Member{}, false
 	}
 	g, ok := t.groups[groupKey{service, place}]
-	if !ok || g.row.Owner == t.self.Name || now.Sub(g.heard) >= t.suspectAfter(g.row.Owner) {
+	if !ok || g.row.Owner == t.self.Name || now.Sub(g.updatedAt) >= t.suspectAfter(g.row.Owner) {
 		return Member{}, false
 	}
 	if s, known := t.members[g.row.Owner]; known {
-		lost := s.row.Leaving || s.row.Incarnation > g.row.OwnerIncarnation || s.mate && !t.alive(now, s)
+		lost := s.row.Leaving || s.row.Incarnation > g.row.OwnerIncarnation || s.inCell && !t.isLive(now, s)
 		return memberOf(s.row), !lost
 	}
 	peer, listed := t.dir.Peer(g.row.Owner)
@@ -174,7 +183,7 @@
 	return owner, listed
 }
 
-// Backup returns the entry that would own a group if its owner were lost.
+// Backup returns the entry that would own a group if its owner failed.
 func (t *Table) Backup(now time.Time, service, place string) (Member, bool) {
 	owner, ok := t.Owner(now, service, place)
 	if !ok {
@@ -183,9 +192,9 @@
 	return t.choose(now, service, place, owner.Name)
 }
 
-// OwnsSelf says whether this entry may act as the owner of a group: it is
-// neither fenced nor leaving nor just started, and every entry before it is
-// leaving or has been silent for longer than its lease.
+// OwnsSelf says whether this entry may act as the owner of a group: it is not
+// fenced, not leaving and settled, and no entry before it in the ranking can
+// own the group.
 func (t *Table) OwnsSelf(now time.Time, service, place string) bool {
 	if t.self.Leaving || t.Fenced(now) || !t.settledSelf(now) {
 		return false
@@ -196,7 +205,7 @@
 	}
 	owns := true
 	t.eachCandidate(service, place, func(r rank) {
-		if r.name != t.self.Name && r.before(self) && !t.gone(now, r.name) {
+		if r.name != t.self.Name && r.before(self) && !t.cannotOwn(now, r.name) {
 			owns = false
 		}
 	})
@@ -216,23 +225,25 @@
 	return self, found
 }
 
-// gone says whether an entry can't be acting as an owner: it is leaving, has
-// come back only now, or has been silent for longer than its lease.
-func (t *Table) gone(now time.Time, name string) bool {
+// cannotOwn says whether an entry cannot be acting as an owner: it is leaving,
+// it is not settled, or it has been unresponsive for longer than its lease. An
+// entry that was never seen counts as unresponsive since this entry's start.
+func (t *Table) cannotOwn(now time.Time, name string) bool {
 	s, ok := t.members[name]
 	if !ok {
-		return now.Sub(t.started) >= t.suspectAfter(name)
+		return now.Sub(t.startedAt) >= t.suspectAfter(name)
 	}
 	if s.row.Leaving {
 		return true
 	}
-	if t.alive(now, s) {
+	if t.isLive(now, s) {
 		return !t.settled(now, name)
 	}
 	return true
 }
 
-// Representative returns the entry that speaks for its place to control VMs.
+// Representative returns the entry that contacts the control VMs on behalf of a
+// place; false means that the place has no live entry that stays.
 func (t *Table) Representative(now time.Time, place string) (Member, bool) {
 	m, ok := t.choose(now, representativeKey, place, "")
 	if !ok || m.Place != place {
--- a/internal/core/membership/relay.go
+++ b/internal/core/membership/relay.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// relay bounds how often a row is passed on: a row that has come in is passed
-// on a few times, and the next one only after a while (rumor mongering with a
-// counter, Demers et al., 1987).
+// relay limits how often the rows of one entry or group are relayed: Relays
+// times, and again once a newer row is received after RelayPeriod (rumor
+// mongering with a counter, Demers et al., 1987).
 type relay struct {
-	// fresh is when a row was last taken up for passing on.
-	fresh time.Time
-	// times counts how often it was passed on.
-	times int
-	// sent is the own counter when it last was.
-	sent uint64
+	// renewedAt is when relayCount was last reset for a newer row.
+	renewedAt time.Time
+	// relayCount is how often a row was relayed since then.
+	relayCount int
+	// lastRelayed is the own counter at the last relay.
+	lastRelayed uint64
 }
 
-// renew takes up a newer row.
+// renew resets relayCount for a newer row if RelayPeriod has passed since the
+// last reset.
 func (r *relay) renew(now time.Time, cfg Config) {
-	if now.Sub(r.fresh) >= cfg.RelayPeriod {
-		r.fresh = now
-		r.times = 0
+	if now.Sub(r.renewedAt) >= cfg.RelayPeriod {
+		r.renewedAt = now
+		r.relayCount = 0
 	}
 }
 
-// due says whether the row may be passed on once more.
-func (r *relay) due(cfg Config) bool { return r.times < cfg.Relays }
+// mayRelay says whether the row may be relayed once more.
+func (r *relay) mayRelay(cfg Config) bool { return r.relayCount < cfg.Relays }
 
-// relayed counts that the row was passed on.
-func (r *relay) relayed(counter uint64) {
-	r.times++
-	r.sent = counter
+// recordRelay records that the row was relayed in the period with this counter.
+func (r *relay) recordRelay(counter uint64) {
+	r.relayCount++
+	r.lastRelayed = counter
 }
--- a/internal/core/membership/rotor.go
+++ b/internal/core/membership/rotor.go
@@ -5,82 +5,91 @@
 	"time"
 )
 
-// probeEvery is how often a silent peer is tried instead of a live one.
+// probeEvery is the interval, in periods, at which the next peer in turn is
+// contacted even if it is unresponsive.
 const probeEvery = 4
 
-// rotor goes round the peers so that each gets its turn. Its start depends on
-// the entry's name, so that entries don't turn to the same peer together.
-type rotor struct {
-	cell, spot, visit int
-	// awaited names the last peer outside the cell until it answers; retry
-	// says that the spot was tried twice.
+// roundRobin selects the peers to contact in turn. Its start depends on the
+// entry's name, so that the entries do not all contact the same peer at once.
+type roundRobin struct {
+	// cell is the position in the own cell, peerSet the index of the current
+	// peer set, and round counts the periods.
+	cell, peerSet, round int
+	// awaited names the peer outside the cell that was contacted last, until a
+	// message from it is received; retried says that the current peer set was
+	// tried a second time.
 	awaited string
-	retry   bool
+	retried bool
 }
 
-func newRotor(name string, cell, spots int) rotor {
+// newRoundRobin returns the initial state for an own cell with the given number
+// of other members and the given number of peer sets.
+func newRoundRobin(name string, cell, peerSets int) roundRobin {
 	start := int(hashOf(name, "", "") >> 33)
-	r := rotor{visit: start}
+	r := roundRobin{round: start}
 	if cell > 0 {
 		r.cell = start % cell
 	}
-	if spots > 0 {
-		r.spot = start % spots
+	if peerSets > 0 {
+		r.peerSet = start % peerSets
 	}
 	return r
 }
 
-// nextTargets picks the peers of this period: some of the own cell, the rest
-// of other cells and places in turn.
+// nextTargets returns the peers to contact in this period: CellFanOut from the
+// own cell and the rest, up to FanOut, from the peer sets in turn. If there are
+// too few peer sets, more come from the own cell.
 func (t *Table) nextTargets(now time.Time) []Peer {
 	inCell := min(t.cfg.CellFanOut, len(t.cell))
-	outside := min(t.cfg.FanOut-inCell, len(t.spots))
+	outside := min(t.cfg.FanOut-inCell, len(t.peerSets))
 	if outside < t.cfg.FanOut-inCell {
 		inCell = min(t.cfg.FanOut-outside, len(t.cell))
 	}
 	var picked []Peer
 	for range inCell {
-		t.rotor.cell = (t.rotor.cell + 1) % len(t.cell)
-		picked = t.pick(now, picked, t.cell, t.rotor.cell)
+		t.roundRobin.cell = (t.roundRobin.cell + 1) % len(t.cell)
+		picked = t.pick(now, picked, t.cell, t.roundRobin.cell)
 	}
 	for k := range outside {
-		t.nextSpot(k == 0)
-		spot := t.spots[t.rotor.spot]
-		picked = t.pick(now, picked, spot, (t.rotor.visit+t.rotor.spot)%len(spot))
+		t.nextPeerSet(k == 0)
+		peerSet := t.peerSets[t.roundRobin.peerSet]
+		picked = t.pick(now, picked, peerSet, (t.roundRobin.round+t.roundRobin.peerSet)%len(peerSet))
 		if len(picked) > 0 {
-			t.rotor.awaited = picked[len(picked)-1].Name
+			t.roundRobin.awaited = picked[len(picked)-1].Name
 		}
 	}
-	t.rotor.visit++
+	t.roundRobin.round++
 	return picked
 }
 
-// nextSpot turns to the next spot; the first time in a period it tries another
-// member of the last one when there was no answer, once.
-func (t *Table) nextSpot(first bool) {
-	if first && t.rotor.awaited != "" && !t.rotor.retry {
-		t.rotor.retry = true
+// nextPeerSet advances to the next peer set. On the first call in a period it
+// stays at the current one, once, if the awaited peer has sent nothing, so that
+// another member of the set is tried.
+func (t *Table) nextPeerSet(first bool) {
+	if first && t.roundRobin.awaited != "" && !t.roundRobin.retried {
+		t.roundRobin.retried = true
 		return
 	}
-	t.rotor.retry = false
-	t.rotor.spot = (t.rotor.spot + 1) % len(t.spots)
+	t.roundRobin.retried = false
+	t.roundRobin.peerSet = (t.roundRobin.peerSet + 1) % len(t.peerSets)
 }
 
-// answered notes a message of the peer that is awaited.
-func (t *Table) answered(from string) {
-	if t.rotor.awaited == from {
-		t.rotor.awaited = ""
+// clearAwaited records a message from a peer, which may be the awaited one.
+func (t *Table) clearAwaited(from string) {
+	if t.roundRobin.awaited == from {
+		t.roundRobin.awaited = ""
 	}
 }
 
-// pick appends the first live peer from start on, or the one at start when
-// none is live or when it is time to probe.
+// pick appends the first peer of list, from start on, that may be live. It
+// takes the one at start if there is none and in every probeEvery-th period. It
+// appends nothing if the result is this entry or already picked.
 func (t *Table) pick(now time.Time, picked []Peer, list []int, start int) []Peer {
 	choice := start
-	if t.rotor.visit%probeEvery != 0 {
+	if t.roundRobin.round%probeEvery != 0 {
 		for k := range list {
 			i := (start + k) % len(list)
-			if t.mayAnswer(now, t.dir.peers[list[i]]) {
+			if t.mayBeLive(now, t.dir.peers[list[i]]) {
 				choice = i
 				break
 			}
@@ -93,10 +102,10 @@
 	return append(picked, peer)
 }
 
-// mayAnswer says whether a peer is live or was never heard of.
-func (t *Table) mayAnswer(now time.Time, peer Peer) bool {
+// mayBeLive says whether a peer is live or no row of it is known.
+func (t *Table) mayBeLive(now time.Time, peer Peer) bool {
 	s, ok := t.members[peer.Name]
-	return !ok || t.alive(now, s)
+	return !ok || t.isLive(now, s)
 }
 
 func without(dir *Directory, members []int, name string) []int {
--- a/internal/core/membership/steady_test.go
+++ b/internal/core/membership/steady_test.go
@@ -10,16 +10,19 @@
 	"sassafrasreach/internal/core/membership"
 )
 
-// TestNoFalseSuspicion runs healthy systems that lose one message in twenty.
+// TestNoFalseSuspicion guards against healthy entries being considered dead
+// when one message in twenty is lost, and against groups that have no owner or
+// several because of it.
 func TestNoFalseSuspicion(t *testing.T) {
 	cases := []struct {
 		name     string
 		places   map[string][]string
 		perPlace int
-		// least is the number of members of any place that each entry sees live.
+		// least is the required number of live members of any place in the view
+		// of any entry.
 		least int
 	}{
-		{"today", hanbit, 3, 3},
+		{"small places", hanbit, 3, 3},
 		{"large place", map[string][]string{"r": {"guro-a", "pangyo-b"}}, 63, 8},
 	}
 	for _, c := range cases {
@@ -28,7 +31,7 @@
 			random := rand.New(rand.NewPCG(1, 2))
 			n.cut = func(string, string) bool { return random.IntN(20) == 0 }
 			n.run(20 * time.Second)
-			least, none, two := c.perPlace, 0, 0
+			least, none, several := c.perPlace, 0, 0
 			for range 30 {
 				n.run(period)
 				for _, name := range n.order {
@@ -39,20 +42,20 @@
 					}
 				}
 				for _, service := range []string{"roster-desk", "filing-desk", "belt-control", "lot-ledger"} {
-					switch owners := n.owners(service, home); len(owners) {
+					switch owners := n.owners(service, homePlace); len(owners) {
 					case 0:
 						none++
 					case 1:
 					default:
-						two++
+						several++
 					}
 				}
 			}
-			t.Logf("least seen live %d; looks without an owner %d, with two %d", least, none, two)
+			t.Logf("least seen live %d; samples without an owner %d, with several %d", least, none, several)
 			is := is.New(t)
 			is.True(least >= c.least)
 			is.Equal(none, 0)
-			is.Equal(two, 0)
+			is.Equal(several, 0)
 		})
 	}
 }
--- a/internal/core/membership/table.go
+++ b/internal/core/membership/table.go
@@ -5,58 +5,67 @@
 // historyTicks is the number of own heartbeats whose send times are kept.
 const historyTicks = 32
 
-// state is what the table holds of one other entry.
-type state struct {
+// memberState is what the table holds about one other entry.
+type memberState struct {
 	row MemberRow
-	// heard is when a higher counter last came in; zero while the entry is known to
-	// have started again from others alone.
-	heard time.Time
-	// since is when the entry's present unbroken stretch of life began.
-	since time.Time
+	// updatedAt is when a row with a higher counter was last received. It is
+	// zero while a restart of the entry is known only from outside the own
+	// cell.
+	updatedAt time.Time
+	// liveSince is when the entry last became live.
+	liveSince time.Time
 	// source names the sender of the newest row.
 	source string
-	// mate says whether the entry is in the own cell.
-	mate bool
+	// inCell says whether the entry is in the own cell.
+	inCell bool
 	relay
 }
 
-// Table is one entry's view of the others. It isn't safe for concurrent use.
+// Table holds one entry's knowledge of the others. It is not safe for
+// concurrent use.
 type Table struct {
 	cfg     Config
 	self    MemberRow
 	dir     *Directory
-	members map[string]*state
+	members map[string]*memberState
 	groups  map[groupKey]*groupState
-	spots   [][]int
-	cell    []int
-	rotor   rotor
-	// farRounds is how many periods a row from outside the cell may be late.
-	farRounds int
-	// interest holds the places followed beyond the own region; nil means all.
+	// peerSets holds the peers outside the own cell: one set for each other
+	// cell of the place, each followed place and each seed.
+	peerSets [][]int
+	// cell holds the other members of the own cell.
+	cell       []int
+	roundRobin roundRobin
+	// outsideDelay is the number of periods by which a row from outside the
+	// cell may be late.
+	outsideDelay int
+	// interest holds the places followed outside the own region; nil means all.
 	interest map[string]bool
 
-	// started is the first time the table saw, or when it last resumed after a
-	// stall or a spell without acknowledgement.
-	started time.Time
+	// startedAt is when the table was first used, or when this entry last
+	// resumed after a stall or after a time without acknowledgements.
+	startedAt time.Time
 	// lastTick is when Tick last ran.
 	lastTick time.Time
-	// resumed is when a stall was last noticed.
-	resumed time.Time
-	// acked is the send time of the newest own heartbeat that a member of the
-	// cell is known to have.
-	acked time.Time
-	// hears is when the cell was first heard after silence.
-	hears time.Time
-	// sentAt holds the send times of recent own counters.
+	// resumedAt is when a stall was last detected.
+	resumedAt time.Time
+	// lastAcked is the send time of the newest own heartbeat that a member of
+	// the cell has acknowledged.
+	lastAcked time.Time
+	// cellLiveSince is when the cell last came to have a live member that is
+	// not leaving; zero while it has none.
+	cellLiveSince time.Time
+	// sentAt holds the send times of recent heartbeats, by counter modulo
+	// historyTicks.
 	sentAt [historyTicks]time.Time
-	// successor is the highest incarnation of the own name seen elsewhere.
-	successor uint64
+	// supersededBy is the highest incarnation seen of another process with this
+	// entry's name; 0 if there was none.
+	supersededBy uint64
 	// groupCounter orders the own group rows; groupsAt is when it last rose.
 	groupCounter uint64
 	groupsAt     time.Time
 }
 
-// NewTable returns the table of the entry self.
+// NewTable returns the table of the entry self. It has no peers yet.
 func NewTable(self Member, cfg Config) *Table {
 	t := &Table{
 		cfg: cfg.withDefaults(),
@@ -67,27 +76,27 @@
 			Version:     self.Version,
 			Leaving:     self.Leaving,
 		},
-		members: make(map[string]*state),
+		members: make(map[string]*memberState),
 		groups:  make(map[groupKey]*groupState),
 	}
 	t.setDirectory(NewDirectory(nil, t.cfg.CellSize))
 	return t
 }
 
-// SetPeers replaces the entries that heartbeats go to. When the list isn't
-// empty, an entry that isn't in it is neither live nor an owner.
+// SetPeers replaces the entries that heartbeats are sent to. If any of them has
+// a name and a place, an entry that is not listed is neither live nor an owner.
 func (t *Table) SetPeers(now time.Time, peers []Peer) {
 	t.SetDirectory(now, NewDirectory(peers, t.cfg.CellSize))
 }
 
-// SetDirectory is SetPeers for an index that was made with the table's cell
-// size.
+// SetDirectory is SetPeers with a directory that was built with the table's
+// cell size.
 func (t *Table) SetDirectory(now time.Time, dir *Directory) {
-	t.begin(now)
+	t.markStarted(now)
 	t.setDirectory(dir)
 }
 
-// SetInterest names the places that this entry follows beyond its own region.
+// SetInterest sets the places that this entry follows outside its own region.
 // An empty list means every place.
 func (t *Table) SetInterest(places []string) {
 	t.interest = nil
@@ -103,7 +112,7 @@
 func (t *Table) setDirectory(dir *Directory) {
 	t.dir = dir
 	t.cell = nil
-	t.spots = nil
+	t.peerSets = nil
 	ownCell := -1
 	if i, ok := dir.byName[t.self.Name]; ok && dir.peers[i].Place == t.self.Place {
 		ownCell = dir.cells[i]
@@ -113,25 +122,25 @@
 		case k == ownCell || ownCell < 0 && k == 0:
 			t.cell = without(dir, members, t.self.Name)
 		default:
-			t.spots = append(t.spots, members)
+			t.peerSets = append(t.peerSets, members)
 		}
 	}
 	for _, place := range sortedPlaces(dir) {
 		if place != t.self.Place && t.follows(place) {
-			t.spots = append(t.spots, join(dir.places[place]))
+			t.peerSets = append(t.peerSets, join(dir.places[place]))
 		}
 	}
 	for _, seed := range dir.seeds {
-		t.spots = append(t.spots, []int{seed})
+		t.peerSets = append(t.peerSets, []int{seed})
 	}
-	t.rotor = newRotor(t.self.Name, len(t.cell), len(t.spots))
-	t.farRounds = t.roundsOutside()
+	t.roundRobin = newRoundRobin(t.self.Name, len(t.cell), len(t.peerSets))
+	t.outsideDelay = t.outsideDelayPeriods()
 	for name, s := range t.members {
-		s.mate = dir.sameCell(t.self.Name, name)
+		s.inCell = dir.sameCell(t.self.Name, name)
 	}
 }
 
-// follows says whether rows of a place are of use to this entry.
+// follows says whether this entry keeps rows of a place.
 func (t *Table) follows(place string) bool {
 	if t.interest == nil || place == t.self.Place || t.interest[place] {
 		return true
@@ -140,21 +149,21 @@
 	return region != "" && t.dir.region[place] == region
 }
 
-// SetVersion records the version of the document in force here.
+// SetVersion sets this entry's version of the document in force.
 func (t *Table) SetVersion(version uint64) { t.self.Version = version }
 
-// Leave marks this entry as stopping: it owns nothing from now on.
+// Leave marks this entry as stopping: from now on it owns nothing.
 func (t *Table) Leave(now time.Time) {
-	t.begin(now)
+	t.markStarted(now)
 	t.self.Leaving = true
 }
 
 // Peer returns the listed peer with the given name.
 func (t *Table) Peer(name string) (Peer, bool) { return t.dir.Peer(name) }
 
-// begin notes the first time that the table sees.
-func (t *Table) begin(now time.Time) {
-	if t.started.IsZero() {
-		t.started = now
+// markStarted records the time of the table's first use.
+func (t *Table) markStarted(now time.Time) {
+	if t.startedAt.IsZero() {
+		t.startedAt = now
 	}
 }
--- a/internal/core/membership/types.go
+++ b/internal/core/membership/types.go
@@ -8,7 +8,7 @@
 	Name, Place string
 	// Incarnation rises at each start of the entry.
 	Incarnation uint64
-	// Version is the version of the document in force there.
+	// Version is the version of the document in force at the entry.
 	Version uint64
 	// Leaving says that the entry is stopping; it never reverts within an
 	// incarnation.
@@ -25,7 +25,7 @@
 	Address string
 }
 
-// MemberRow is what a heartbeat says of one entry.
+// MemberRow is one entry's row in a heartbeat.
 type MemberRow struct {
 	// Name identifies the entry.
 	Name string
@@ -34,26 +34,28 @@
 	Place string
 	// Incarnation and Counter order the rows of one entry.
 	Incarnation, Counter uint64
-	// Version is the version of the document in force there.
+	// Version is the version of the document in force at the entry.
 	Version uint64
 	// Leaving says that the entry is stopping.
 	Leaving bool
 }
 
-// GroupRow is what an owner says of its group of endpoints.
+// GroupRow is the report of an owner on one group of endpoints.
 type GroupRow struct {
 	// Service and Place identify the group. In a heartbeat an empty place means
 	// the sender's own.
 	Service, Place string
-	// Owner and OwnerIncarnation name the entry that says so. In a heartbeat an
-	// empty owner means the sender.
+	// Owner and OwnerIncarnation identify the entry that reports. In a
+	// heartbeat an empty owner means the sender.
 	Owner            string
 	OwnerIncarnation uint64
 	// Counter orders the rows of one owner.
 	Counter uint64
-	// Endpoints, Slots, Busy and Queued are counts.
+	// Endpoints, Slots, Busy and Queued count the group's endpoints, the
+	// requests that they may run at the same time, the slots in use and the
+	// requests that wait.
 	Endpoints, Slots, Busy, Queued int
-	// Latency is the group's usual time to answer.
+	// Latency is the group's typical time to answer a request.
 	Latency time.Duration
 }
 
@@ -67,7 +69,7 @@
 	Groups []GroupRow
 }
 
-// Target is a heartbeat and the peer that it goes to.
+// Target is a heartbeat and the peer to send it to.
 type Target struct {
 	Peer      Peer
 	Heartbeat Heartbeat
@@ -91,26 +93,30 @@
 type Config struct {
 	// Period is the time between two calls of Tick.
 	Period time.Duration
-	// SuspectAfter is the silence after which a member of the own cell is no
-	// longer live.
+	// SuspectAfter is the time without an update after which a member of the
+	// own cell is no longer live.
 	SuspectAfter time.Duration
-	// Lease is the time that an entry may act as an owner after its last sign
-	// of health; it is below SuspectAfter.
+	// Lease is how long an entry may act as an owner after its last Tick and
+	// its last acknowledgement. It is below SuspectAfter: withDefaults reduces
+	// it if it is not.
 	Lease time.Duration
-	// RelayPeriod is the least time between two rows of one entry or group that
-	// are passed on.
+	// RelayPeriod is the least time after which a newer row of the same entry
+	// or group is relayed again up to Relays times. The counter of the own
+	// group rows rises at most once in it.
 	RelayPeriod time.Duration
-	// Relays is how often one row is passed on.
+	// Relays is how often the rows of one entry or group are relayed per
+	// RelayPeriod.
 	Relays int
-	// FanOut is the number of heartbeats per period.
+	// FanOut is the number of heartbeats sent per period.
 	FanOut int
-	// CellFanOut is how many of them go to the own cell when there are others.
+	// CellFanOut is how many of them go to the own cell while there are peer
+	// sets.
 	CellFanOut int
 	// CellSize bounds the members of a cell.
 	CellSize int
 	// MaxRows and MaxGroups bound the rows of one heartbeat.
 	MaxRows, MaxGroups int
-	// MaxUnlisted bounds the members kept that aren't among the peers.
+	// MaxUnlisted bounds the members kept that are not among the peers.
 	MaxUnlisted int
 }
 
