--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -71,11 +71,11 @@
 // NewCandidate returns a candidate without votes.
 func NewCandidate() *Candidate { return &Candidate{expiry: make(map[string]time.Time)} }
 
-// Voted records the reply of a voter to a request that was sent at the time
-// asked. A refusal leaves an earlier vote in place.
-func (c *Candidate) Voted(voter string, asked time.Time, given bool) {
-	if given {
-		c.expiry[voter] = asked.Add(Term - margin)
+// Voted records the reply of a voter to a request sent at sentAt. A refusal
+// leaves an earlier vote in place.
+func (c *Candidate) Voted(voter string, sentAt time.Time, granted bool) {
+	if granted {
+		c.expiry[voter] = sentAt.Add(Term - margin)
 	}
 }
 
--- a/internal/core/membership/groups.go
+++ b/internal/core/membership/groups.go
@@ -209,8 +209,8 @@
 }
 
 // groupRelayCandidates returns the group rows that may be relayed to the entry
-// to: recent ones that are not its own, were not received from it, and are
-// newer than those in its request.
+// to: recent ones, not released, that it does not own and did not send, and
+// that its request does not contain with the same owner and at least as new.
 func (t *Table) groupRelayCandidates(now time.Time, to string, request *Heartbeat) []*groupState {
 	has := make(map[groupKey]GroupRow)
 	if request != nil {
--- a/internal/core/membership/liveness.go
+++ b/internal/core/membership/liveness.go
@@ -13,9 +13,9 @@
 const smallSystemEntries = 24
 
 // detectStall handles a stall: this entry's own loop did not run for longer
-// than the lease. The heartbeats that it missed in that time say nothing about
-// the others, so the times of the members that were live and of the groups move
-// on by the gap, and this entry counts as just started.
+// than the lease. The heartbeats that it missed in that time give no
+// information on the others, so the times of the members that were live and of
+// the groups move on by the gap, and this entry counts as just started.
 func (t *Table) detectStall(now time.Time) {
 	base := t.lastRun()
 	if base.IsZero() || now.Sub(base) <= t.cfg.Lease {
--- a/internal/core/steering/doc.go
+++ b/internal/core/steering/doc.go
@@ -1,10 +1,10 @@
 // Package steering decides which places may answer a request, and in which
 // order.
 //
-// The origin of a request is the place that its client belongs to. A group is
-// the endpoints of one service in one place. A rule permits requests to move
-// from one place or region to another, and a link is the network between two
-// regions in one direction.
+// The origin of a request is the place of its caller. A group is the endpoints
+// of one service in one place. A rule permits requests to move from one place
+// or region to another, and a link is the network between two regions in one
+// direction.
 //
 // A Table is an immutable snapshot of one version of the document. It answers
 // two questions from local state alone: which place a client belongs to, and
