--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -41,10 +41,10 @@
 	return &Ballots{mayVoteAt: now.Add(Term), votes: make(map[string]vote)}
 }
 
-// Ask requests the voter's vote for a region and says whether it is granted. It
-// is refused for one Term after the voter's start, and while another candidate
-// has an unexpired vote. A candidate that already has the vote gets it for
-// another Term from now.
+// Ask handles a candidate's request for the vote for a region and says whether
+// the vote is granted. It is refused for one Term after the voter's start, and
+// while another candidate has an unexpired vote. A candidate that already has
+// the vote gets it for another Term from now.
 func (b *Ballots) Ask(now time.Time, region, candidate string) bool {
 	if now.Before(b.mayVoteAt) {
 		return false
--- a/internal/core/membership/doc.go
+++ b/internal/core/membership/doc.go
@@ -16,10 +16,10 @@
 // Ravishankar, 1998), first over the cells, then within the cell.
 //
 // Ownership is a lease. An entry is fenced, which means that it must not act as
-// an owner, when its own loop has stalled, when the live members of its cell
-// have not acknowledged its heartbeats for the length of the lease, or when
-// another process has superseded it under the same name. The next entry in the
-// ranking takes over only after the lease. An entry is settled, which means
-// that it may own groups, once it has been live for long enough after its
-// start.
+// an owner, when its own loop has stalled, when no live member of its cell
+// has acknowledged its heartbeats for the length of the lease, or when another
+// process has superseded it under the same name. The next entry in the ranking
+// takes over from a failed owner only after the lease. An entry is settled,
+// which means that it may own groups, once it has been live for long enough
+// after its start.
 package membership
--- a/internal/core/membership/faults_test.go
+++ b/internal/core/membership/faults_test.go
@@ -69,7 +69,7 @@
 		{"outgoing messages to its place lost", func(n *network, o string) {
 			n.cut = func(a, b string) bool { return a == o && strings.HasPrefix(b, homePlace) }
 		}, 1, time.Second, true, homePlace},
-		{"owner partitioned from its place", func(n *network, o string) {
+		{"outgoing messages and incoming ones from its place lost", func(n *network, o string) {
 			n.cut = func(a, b string) bool { return strings.HasPrefix(a, homePlace) && (a == o) != (b == o) }
 		}, 2, 2 * time.Second, false, homePlace},
 		{"leaving", func(n *network, o string) { n.tables[o].Leave(n.now) }, 1, time.Second, true, homePlace},
@@ -94,7 +94,8 @@
 			is.Equal(s.owners[0] != before[0], c.taken)
 			is.True(strings.HasPrefix(s.owners[0], c.place))
 
-			// The fault ends: resumed, reconnected, or restarted with a new incarnation.
+			// The fault ends: entries resume, reconnect, or restart with a new
+			// incarnation.
 			n.cut = func(string, string) bool { return false }
 			clear(n.frozen)
 			for _, name := range n.order {
@@ -283,7 +284,7 @@
 		round("a", "p", 1)
 	}
 	service := ""
-	for n := range 100 { // a service whose groups a owns
+	for n := range 100 { // a service whose group in p is owned by a
 		s := fmt.Sprint("s", n)
 		if owner, ok := table.Owner(now, s, "p"); ok && owner.Name == "a" {
 			service = s
@@ -298,10 +299,10 @@
 	is.Equal(owner.Name, "b")
 }
 
-// TestSilenceOfLeavingMemberDoesNotFence guards against an entry fenced for
+// TestMissingAcksOfLeavingMemberDoNotFence guards against an entry fenced for
 // missing acknowledgements when the only other entry of its place leaves, ends
 // and is replaced by a new one.
-func TestSilenceOfLeavingMemberDoesNotFence(t *testing.T) {
+func TestMissingAcksOfLeavingMemberDoNotFence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	table := membership.NewTable(membership.Member{Name: "b", Place: "p", Incarnation: 1}, membership.Config{})
@@ -330,9 +331,10 @@
 	is.True(table.OwnsSelf(now, "s", "p"))
 }
 
-// TestNotRelievedByRestartReportedFromOutside guards against an entry leaving
-// its place without an owner: the only other entry is leaving, and then
-// restarting as reported from another place alone, and has not settled yet.
+// TestNotRelievedByRestartReportedFromOutside guards against an entry that
+// leaves its place without an owner. The only other entry is leaving; then its
+// restart is reported, but only from another place. It cannot own groups in
+// either state.
 func TestNotRelievedByRestartReportedFromOutside(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/core/membership/gossip.go
+++ b/internal/core/membership/gossip.go
@@ -86,9 +86,9 @@
 
 // mergeIndirect merges a row about a member of the own cell that was received
 // from outside the cell. It takes over that the member has restarted or is
-// leaving, but not that it is live. Liveness is decided within the cell, so
-// that the other members agree with the fence of a member whose heartbeats only
-// reach entries outside the cell.
+// leaving, but not that it is live. Liveness is decided within the cell: a
+// member whose heartbeats reach only entries outside the cell is fenced, and
+// the other members must not count it as live.
 func mergeIndirect(s *memberState, row MemberRow) {
 	switch {
 	case s == nil:
@@ -155,7 +155,8 @@
 
 // compose builds a heartbeat for the entry to. For a reply, request is the
 // heartbeat that to has just sent; otherwise it is nil. The second row is that
-// of to, if known: its counter acknowledges the heartbeats received from to.
+// of to, if known: its counter acknowledges the heartbeats of to, received from
+// it or relayed by others.
 func (t *Table) compose(now time.Time, to string, request *Heartbeat) Heartbeat {
 	hb := Heartbeat{From: t.self.Name, Members: []MemberRow{t.self}}
 	if s, ok := t.members[to]; ok {
--- a/internal/core/membership/groups.go
+++ b/internal/core/membership/groups.go
@@ -10,7 +10,7 @@
 // of the time after which its owner is no longer live.
 const groupExpiryFactor = 5
 
-// groupsPerPeerSet bounds the group rows held, for each peer set and the own
+// groupsPerPeerSet is the part of maxGroupRows for each peer set and for the own
 // cell.
 const groupsPerPeerSet = 64
 
@@ -79,8 +79,9 @@
 	return g.row, max(0, now.Sub(g.updatedAt)), true
 }
 
-// mergeGroup merges a group's row from another entry. It takes over a newer row
-// of the same owner, and the row of another owner if replacesOwner permits it.
+// mergeGroup merges a group's row from another entry. It takes over the row of
+// a group without one while fewer than maxGroupRows are held, a newer row of the
+// same owner, and the row of another owner if replacesOwner permits it.
 func (t *Table) mergeGroup(now time.Time, from string, row GroupRow) {
 	if row.Owner == t.self.Name || !t.follows(row.Place) || !t.isListed(row.Owner) {
 		return
@@ -112,7 +113,8 @@
 	g.renew(now, t.cfg)
 }
 
-// maxGroupRows bounds the group rows that a table holds.
+// maxGroupRows is the number of group rows held from which rows of further
+// groups are ignored. Rows that this entry owns are added regardless.
 func (t *Table) maxGroupRows() int { return groupsPerPeerSet * (len(t.peerSets) + 1) }
 
 // isNewerGroup says whether row a of an owner is newer than row b of the same
@@ -192,7 +194,7 @@
 	return row
 }
 
-// unpackGroup reverts packGroup, using the first member row of the heartbeat.
+// unpackGroup reverses packGroup, using the first member row of the heartbeat.
 func unpackGroup(row GroupRow, hb Heartbeat) GroupRow {
 	if len(hb.Members) == 0 {
 		return row
@@ -209,8 +211,9 @@
 }
 
 // groupRelayCandidates returns the group rows that may be relayed to the entry
-// to: recent ones, not released, that it does not own and did not send, and
-// that its request does not contain with the same owner and at least as new.
+// to. It leaves out rows that are released, stale or relayed often enough, rows
+// that to owns or has sent, and those of which its request has a row of the same
+// owner that is at least as new.
 func (t *Table) groupRelayCandidates(now time.Time, to string, request *Heartbeat) []*groupState {
 	has := make(map[groupKey]GroupRow)
 	if request != nil {
--- a/internal/core/membership/liveness.go
+++ b/internal/core/membership/liveness.go
@@ -8,14 +8,15 @@
 )
 
 // smallSystemEntries is the number of listed entries up to which every entry
-// follows all others. In a larger system heartbeats relay half as many rows,
-// and outside the cell an entry relies on the rotation over the peer sets.
+// follows all others. In a larger system heartbeats relay half as many member
+// rows, and outside the cell an entry relies on the rotation over the peer
+// sets.
 const smallSystemEntries = 24
 
 // detectStall handles a stall: this entry's own loop did not run for longer
-// than the lease. The heartbeats that it missed in that time give no
-// information on the others, so the times of the members that were live and of
-// the groups move on by the gap, and this entry counts as just started.
+// than the lease. Heartbeats missing in that time do not show that
+// others have failed, so the times of the members that were live and of the
+// groups move on by the gap, and this entry counts as just started.
 func (t *Table) detectStall(now time.Time) {
 	base := t.lastRun()
 	if base.IsZero() || now.Sub(base) <= t.cfg.Lease {
@@ -54,9 +55,9 @@
 	return now
 }
 
-// recordAck records that a member of the cell has received this entry's
-// heartbeat with this counter. Acknowledgements from outside the cell, and of
-// heartbeats sent before a stall or too long ago, do not count.
+// recordAck records that a member of the cell has this entry's heartbeat with
+// this counter, received directly or relayed. Acknowledgements from outside the
+// cell, and of heartbeats sent before a stall or too long ago, do not count.
 func (t *Table) recordAck(now time.Time, from string, counter uint64) {
 	if !t.dir.sameCell(t.self.Name, from) || t.self.Counter-counter >= historyTicks {
 		return
--- a/internal/core/membership/owner.go
+++ b/internal/core/membership/owner.go
@@ -154,7 +154,7 @@
 // Owner returns the entry that owns a group: the first by rendezvous hashing
 // over the place's live entries, or over those of its region when the place has
 // none. The owner that a recent row of the group names takes precedence, unless
-// the own cell is the whole place.
+// the group is in this entry's place and the own cell is the whole place.
 func (t *Table) Owner(now time.Time, service, place string) (Member, bool) {
 	if m, ok := t.reportedOwner(now, service, place); ok {
 		return m, true
@@ -243,7 +243,7 @@
 }
 
 // Representative returns the entry that contacts the control VMs on behalf of a
-// place; false means that the place has no live entry that stays.
+// place; false means that the place has no live entry that is not leaving.
 func (t *Table) Representative(now time.Time, place string) (Member, bool) {
 	m, ok := t.choose(now, representativeKey, place, "")
 	if !ok || m.Place != place {
--- a/internal/core/membership/relay.go
+++ b/internal/core/membership/relay.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// relay limits how often the rows of one entry or group are relayed: Relays
-// times, and again once a newer row is received after RelayPeriod (rumor
+// relay limits how many times the rows of one entry or group are relayed: Relays
+// times, and again once RelayPeriod has passed and there is a newer row (rumor
 // mongering with a counter, Demers et al., 1987).
 type relay struct {
-	// renewedAt is when relayCount was last reset for a newer row.
+	// renewedAt is when renew last reset relayCount.
 	renewedAt time.Time
-	// relayCount is how often a row was relayed since then.
+	// relayCount is how many times a row was relayed since then, or since a new
+	// Leaving mark reset it.
 	relayCount int
 	// lastRelayed is the own counter at the last relay.
 	lastRelayed uint64
--- a/internal/core/membership/rotor.go
+++ b/internal/core/membership/rotor.go
@@ -15,9 +15,9 @@
 	// cell is the position in the own cell, peerSet the index of the current
 	// peer set, and round counts the periods.
 	cell, peerSet, round int
-	// awaited names the peer outside the cell that was contacted last, until a
-	// message from it is received; retried says that the current peer set was
-	// tried a second time.
+	// awaited names the last peer contacted in a period with a peer set in turn,
+	// until a message from it is received; retried says that the current peer
+	// set was tried a second time.
 	awaited string
 	retried bool
 }
--- a/internal/core/membership/table.go
+++ b/internal/core/membership/table.go
@@ -8,9 +8,10 @@
 // memberState is what the table holds about one other entry.
 type memberState struct {
 	row MemberRow
-	// updatedAt is when a row with a higher counter was last received. It is
-	// zero while a restart of the entry is known only from outside the own
-	// cell.
+	// updatedAt is when a row with a higher counter was last received. After a
+	// stall of this entry's own loop it moves on by the length of the stall if
+	// the member was live. It is zero while a restart of the entry is known only
+	// from outside the own cell.
 	updatedAt time.Time
 	// liveSince is when the entry last became live.
 	liveSince time.Time
@@ -29,10 +30,10 @@
 	dir     *Directory
 	members map[string]*memberState
 	groups  map[groupKey]*groupState
-	// peerSets holds the peers outside the own cell: one set for each other
-	// cell of the place, each followed place and each seed.
+	// peerSets holds the peers outside the own cell as indexes in dir.peers: one
+	// set for each other cell of the place, each followed place and each seed.
 	peerSets [][]int
-	// cell holds the other members of the own cell.
+	// cell holds the other members of the own cell as indexes in dir.peers.
 	cell       []int
 	roundRobin roundRobin
 	// outsideDelay is the number of periods by which a row from outside the
--- a/internal/core/membership/types.go
+++ b/internal/core/membership/types.go
@@ -96,16 +96,16 @@
 	// SuspectAfter is the time without an update after which a member of the
 	// own cell is no longer live.
 	SuspectAfter time.Duration
-	// Lease is how long an entry may act as an owner after its last Tick and
-	// its last acknowledgement. It is below SuspectAfter: withDefaults reduces
-	// it if it is not.
+	// Lease is how long an entry may act as an owner after its last Tick and,
+	// while its cell has live members, after its last acknowledged heartbeat.
+	// It is below SuspectAfter: withDefaults reduces it if it is not.
 	Lease time.Duration
-	// RelayPeriod is the least time after which a newer row of the same entry
-	// or group is relayed again up to Relays times. The counter of the own
-	// group rows rises at most once in it.
+	// RelayPeriod is the least time until newer rows of the same entry or group
+	// are relayed up to Relays times again. The counter of the own group rows
+	// rises at most once in it.
 	RelayPeriod time.Duration
-	// Relays is how often the rows of one entry or group are relayed per
-	// RelayPeriod.
+	// Relays is how many times the rows of one entry or group are relayed per
+	// RelayPeriod. A new Leaving mark may restart the count.
 	Relays int
 	// FanOut is the number of heartbeats sent per period.
 	FanOut int
--- a/internal/core/steering/crossing.go
+++ b/internal/core/steering/crossing.go
@@ -1,9 +1,10 @@
 package steering
 
-// Crossing returns the choice of serving a request at the place at: every rule
-// that it crosses from origin and every bounded link. For origin itself it
-// crosses nothing. False means that the service or a place is unknown, that no
-// rule permits it, or that the place is drained for the service.
+// Crossing returns every rule and every bounded link that a request of a service
+// crosses when it moves from origin to the place at. Served at origin itself it
+// crosses none, even if origin is drained. Otherwise, false means that a place
+// is unknown, that no rule permits the request, or that at is drained for the
+// service. False also means that the service is unknown.
 func (t *Table) Crossing(service, origin, at string) (Choice, bool) {
 	s, ok := t.services[service]
 	if !ok {
--- a/internal/core/steering/doc.go
+++ b/internal/core/steering/doc.go
@@ -12,6 +12,7 @@
 // load of the places only through the View that the caller passes in, so the
 // same table and the same view always give the same ranking.
 //
-// A ranking is only a proposal, because views are always stale. The budgets of
-// the rules and links and the admission control of the destination decide.
+// A ranking is only a proposal, because a view always lags behind the actual
+// state. The budgets of the rules and links and the admission control of the
+// destination decide.
 package steering
--- a/internal/core/steering/rank.go
+++ b/internal/core/steering/rank.go
@@ -15,8 +15,8 @@
 	// defaultDeadline is used for a service without a deadline.
 	defaultDeadline = time.Second
 	// headroomSteps is the number of classes of headroom. Groups of one class
-	// count as equal, so that small differences in stale views do not send all
-	// traffic to one place.
+	// count as equal, so that small differences in views that lag behind do not
+	// send all traffic to one place.
 	headroomSteps = 5
 	// nearRoundTrip and farRoundTrip are used when no round trip was measured,
 	// inside a region and between regions.
@@ -77,8 +77,9 @@
 //
 // A place whose slots outside the reserve are all taken, according to the view,
 // is left out unless the origin is dead or drained. In that case it is ranked
-// late: the view is stale, and the owner of its group decides and refuses at
-// once. Dead places, and drained places other than the origin, are left out.
+// late: the view lags behind, and the owner of its group decides and refuses at
+// once. A place whose state is stale comes after those, with free slots or
+// without. Dead places, and drained places other than the origin, are left out.
 //
 // The result is empty when the service or the origin is unknown or nothing can
 // answer. The same view gives the same result. Rules and Links are shared:
--- a/internal/core/steering/segments.go
+++ b/internal/core/steering/segments.go
@@ -18,8 +18,9 @@
 
 // segments maps ranges of addresses to indexes. Segment i begins at first[i].
 // It ends before the next segment, or at the end of the block of bits[i]
-// leading bits that contains first[i], whichever comes first. A block takes one
-// segment, and one more for each block nested in it that ends before it does.
+// leading bits that contains first[i], whichever comes first. A block takes at
+// most one segment, and one more for each block nested in it that ends before
+// it does.
 type segments[K key] struct {
 	width uint8 // bits of K that addresses use
 	first []K
@@ -51,7 +52,8 @@
 }
 
 // close removes from open the blocks that end before next, innermost first.
-// After each one it adds a segment that continues the enclosing block.
+// After each one it adds a segment that continues the enclosing block, unless
+// both end at the same address.
 func (s *segments[K]) close(open []block[K], next K) []block[K] {
 	for len(open) > 0 {
 		inner := open[len(open)-1]
