--- a/internal/core/dispatch/bench_test.go
+++ b/internal/core/dispatch/bench_test.go
@@ -7,34 +7,35 @@
 	"github.com/matryer/is"
 )
 
-// largeRegion is 164 endpoints and 800 objects with a number of requests a second.
-func largeRegion(perSecond float64, lasts time.Duration) scene {
-	return scene{
-		endpoints: 164, slots: 9, keeps: 14, objects: 800, perSecond: perSecond,
-		cold: 2200 * time.Millisecond, warm: 660 * time.Millisecond, target: 1500 * time.Millisecond, lasts: lasts,
+// largeRegion is a region of 164 endpoints and 800 objects with the given
+// requests per second.
+func largeRegion(perSecond float64, duration time.Duration) workload {
+	return workload{
+		endpoints: 164, slots: 9, capacity: 14, objects: 800, perSecond: perSecond,
+		cold: 2200 * time.Millisecond, warm: 660 * time.Millisecond, target: 1500 * time.Millisecond, duration: duration,
 	}
 }
 
-// BenchmarkLargeRegion plays 20 s of usual load.
+// BenchmarkLargeRegion runs 20 s of normal load.
 func BenchmarkLargeRegion(b *testing.B) {
 	s := largeRegion(900, 20*time.Second)
 	for b.Loop() {
-		out := s.play(true)
+		out := s.run(true)
 		b.ReportMetric(float64(out.inTarget)/float64(out.asked), "in-target")
 		b.ReportMetric(float64(out.refused)/float64(out.asked), "refused")
 	}
 }
 
-// TestLargeRegionUnderOverload answers offered work above capacity with a long
-// queue: the dispatcher of a large region keeps up, and serves what the endpoints
-// can. Looking through all endpoints for each waiting ask took most of a core, and
-// under the race detector several times as long as the load lasted.
+// TestLargeRegionUnderOverload guards against a dispatcher that can't keep up
+// with a long queue. Scanning all endpoints for each queued ask took most of
+// a core, and under the race detector several times as long as the load
+// lasted. Overload must also leave the endpoints at their full throughput.
 func TestLargeRegionUnderOverload(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
 	s := largeRegion(2600, 4*time.Second)
-	out := s.play(true)
+	out := s.run(true)
 	is.True(time.Since(began) < 8*time.Second)
-	able := float64(s.endpoints*s.slots) * s.lasts.Seconds() / s.cold.Seconds() // all cold
-	is.True(float64(out.inTarget+out.late) >= able)
+	capacity := float64(s.endpoints*s.slots) * s.duration.Seconds() / s.cold.Seconds() // all cold
+	is.True(float64(out.inTarget+out.late) >= capacity)
 }
--- a/internal/core/dispatch/doc.go
+++ b/internal/core/dispatch/doc.go
@@ -1,18 +1,28 @@
-// Package dispatch decides which endpoint a region's requests go to, who waits
-// and who is refused.
+// Package dispatch decides which endpoint serves each request of a region,
+// which requests wait for a slot and which are refused.
 //
-// One dispatcher at a time knows all slots of a region's endpoints and grants
-// them one by one. The loads that it answers, and with what:
+// A region has one dispatcher at a time. It keeps a Pool of all slots of the
+// region's endpoints; a slot is the right to run one request at an endpoint.
+// A gateway sends an Ask for a slot; the pool grants one, queues the ask or
+// refuses it. A grant lasts until it is released or expires. An object is
+// what a request concerns, named by its affinity key. It is warm at an
+// endpoint that still caches it, where a run is shorter, and cold elsewhere.
+// An endpoint itself is cold for some time after its start, while it bears
+// only a low rate of requests.
 //
-//   - offered work above capacity: a short queue by priority, early refusals;
-//   - objects that endpoints keep warm: affinity, with a learned limit;
-//   - clients that aren't where the endpoints are: loans of whole endpoints
-//     between regions;
-//   - endpoints that fail, refuse or lose a share of their requests: a growing
-//     preference for others, without leaving warm objects behind;
-//   - endpoints that come back cold: a rate;
-//   - second sends in a storm: a budget;
-//   - a dead gateway: grants that end by themselves.
+// The pool handles these conditions:
 //
-// The package has no I/O, goroutine or clock.
+//   - Offered load above capacity: short queues by priority, and early
+//     refusals.
+//   - Objects that endpoints keep warm: cache affinity, with a learned limit
+//     on the objects per endpoint.
+//   - Clients in other regions than the endpoints: regions lend each other
+//     whole endpoints.
+//   - Endpoints that fail, refuse or lose a share of their requests: a
+//     growing preference for other endpoints, without abandoning warm objects.
+//   - Endpoints that return cold: a rate limit.
+//   - Retry storms: a retry budget.
+//   - Failed gateways: grants that expire.
+//
+// The package does no I/O, starts no goroutine and reads no clock.
 package dispatch
--- a/internal/core/dispatch/kept_test.go
+++ b/internal/core/dispatch/kept_test.go
@@ -10,26 +10,26 @@
 	"sassafrasreach/internal/core/dispatch"
 )
 
-// TestKeptObjects answers the load of more objects than the endpoints keep warm
-// if nobody minds their number: nine tenths of their room are needed, and how
-// much each has is found out from the runs, whether it is less or more than
-// assumed at first.
-func TestKeptObjects(t *testing.T) {
-	for _, keeps := range []int{12, 24, 60} {
-		s := scene{
-			endpoints: 8, slots: 9, keeps: keeps, objects: 8 * keeps * 9 / 10, perSecond: 130,
-			cold: 900 * time.Millisecond, warm: 270 * time.Millisecond, target: 600 * time.Millisecond, lasts: 60 * time.Second,
+// TestWarmCapacityIsLearned guards against objects that evict each other
+// because the pool doesn't know how many an endpoint keeps. The objects need
+// nine tenths of the endpoints' capacity. The pool has to learn the capacity
+// from the run times, whether it is lower or higher than first assumed.
+func TestWarmCapacityIsLearned(t *testing.T) {
+	for _, capacity := range []int{12, 24, 60} {
+		s := workload{
+			endpoints: 8, slots: 9, capacity: capacity, objects: 8 * capacity * 9 / 10, perSecond: 130,
+			cold: 900 * time.Millisecond, warm: 270 * time.Millisecond, target: 600 * time.Millisecond, duration: 60 * time.Second,
 		}
 		is := is.New(t)
-		out := s.play(true)
-		t.Logf("keeps %d: %+v", keeps, out)
+		out := s.run(true)
+		t.Logf("capacity %d: %+v", capacity, out)
 		is.True(10*out.inTarget > 9*out.asked)
 	}
 }
 
-// TestObjectsAreSpread answers the load of endpoints with few slots: where objects are
-// placed while all are idle, none is given many more than the others, whose slots
-// would stay idle while requests wait for its own.
+// TestObjectsAreSpread guards against many objects at a few endpoints. This
+// arises when objects are placed while all endpoints are idle; later their
+// requests wait for the few slots there while other slots are idle.
 func TestObjectsAreSpread(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/core/dispatch/lend.go
+++ b/internal/core/dispatch/lend.go
@@ -8,98 +8,106 @@
 )
 
 const (
-	// LoanTerm is how long a borrower may use an endpoint after it was last told of
-	// the loan: several rounds of news.
+	// LoanTerm is how long a borrower may use an endpoint after it last
+	// received the loan. It covers several rounds of the exchange between
+	// dispatchers.
 	LoanTerm = 1500 * time.Millisecond
-	// useTarget is the share of its slots that a region needs in use before it
-	// borrows: beyond, waits grow steeply.
-	useTarget = 0.6
-	// loadWindow is the time over which needed slots are averaged.
+	// targetUtilization is the share of its needed slots that a region plans
+	// to have in use; above it, waiting times grow steeply.
+	targetUtilization = 0.6
+	// loadWindow is the time over which the needed slots are averaged.
 	loadWindow = 3 * time.Second
-	// lendAbove is the part of an endpoint that must be missing before one more is
-	// lent, and recallBelow the part that must be left over before one is called back: between
-	// the two nothing changes, since each change leaves warm objects behind.
-	lendAbove   = 0.5
-	recallBelow = 0.75
-	// expectBelow is the part of all slots needed below which the loads say little
-	// of where clients are.
-	expectBelow = 0.1
-	// recallPause is the time between two recalls of a service's endpoints, each of
-	// one in recallPart of those that a borrower has, while the lender isn't short
-	// itself: what is called back leaves warm objects behind.
-	recallPause = time.Second
-	recallPart  = 8
-	// returnHoldBack is how long a cold endpoint gets nothing after a loan ended: the
-	// borrower may still go by it for its term.
+	// lendThreshold is the part of an endpoint that a borrower must lack
+	// before one more is lent, and recallThreshold the part that it must have
+	// in excess before one is recalled. Between the two nothing changes,
+	// because each change abandons warm objects.
+	lendThreshold   = 0.5
+	recallThreshold = 0.75
+	// minLoadShare is the share of all slots below which the needed slots say
+	// little about where the clients are.
+	minLoadShare = 0.1
+	// recallInterval is the time between two recalls of a service's
+	// endpoints. Each takes one in recallDivisor of the endpoints that a
+	// borrower has, because recalled endpoints leave warm objects behind.
+	// Neither holds while the lender itself lacks slots.
+	recallInterval = time.Second
+	recallDivisor  = 8
+	// returnHoldBack is how long a cold endpoint gets no requests after its
+	// recall. The borrower may use the loan until its term ends.
 	returnHoldBack = LoanTerm + coldHoldBack
 )
 
-// tenure is who grants an endpoint's slots.
-type tenure struct {
-	// own says that the endpoint is of the pool's region.
+// loanState determines which pool grants an endpoint's slots.
+type loanState struct {
+	// own is true for an endpoint of the pool's own region.
 	own bool
-	// lentTo is the region that borrows an own endpoint, since lentAt.
+	// lentTo is the region that borrows an own endpoint, since lentAt; empty
+	// if none.
 	lentTo string
 	lentAt time.Time
-	// lender is the region that lends another's endpoint until borrowedUntil.
+	// lender is the region that lends an endpoint of another region until
+	// borrowedUntil.
 	lender        string
 	borrowedUntil time.Time
 }
 
-// Load is what a region's requests for a service need.
+// Load is the capacity that a region's requests for a service need.
 type Load struct {
 	Region, Service string
-	// Need is the number of slots that serve them in time.
+	// Need is the number of slots that serve the requests within their
+	// targets.
 	Need float64
-	// Slots are those of the region's own usable endpoints, lent ones too.
+	// Slots counts the slots of the region's own endpoints that are not
+	// leaving, cold or unreachable, including those lent to other regions.
 	Slots int
-	// Gateways is the number of the region's gateways: where nothing was asked yet,
-	// the clients are expected to be where they are.
+	// Gateways is the number of the region's gateways. While there are few
+	// requests, clients are expected where the gateways are.
 	Gateways int
 }
 
-// Loan is the endpoints that one region lends another.
+// Loan lists the endpoints that one region lends another.
 type Loan struct {
 	Lender, Borrower string
 	Endpoints        []string
 }
 
-// loadMeter averages how many slots requests need.
+// loadMeter is a moving average of the number of slots that requests need.
 type loadMeter struct {
-	began, last time.Time
+	start, last time.Time
 	sum         float64
 }
 
 func (m *loadMeter) decay(now time.Time) {
-	if m.began.IsZero() {
-		m.began, m.last = now, now
+	if m.start.IsZero() {
+		m.start, m.last = now, now
 	}
 	m.sum *= math.Exp(-now.Sub(m.last).Seconds() / loadWindow.Seconds())
 	m.last = now
 }
 
-// add counts a request that takes some seconds.
+// add counts a request that uses a slot for the given time in seconds.
 func (m *loadMeter) add(now time.Time, seconds float64) {
 	m.decay(now)
 	m.sum += seconds
 }
 
-// slots is the average number of requests that are being served.
+// slots returns the average number of slots in use at the same time.
 func (m *loadMeter) slots(now time.Time) float64 {
 	m.decay(now)
-	seen := 1 - math.Exp(-now.Sub(m.began).Seconds()/loadWindow.Seconds())
+	seen := 1 - math.Exp(-now.Sub(m.start).Seconds()/loadWindow.Seconds())
 	return m.sum / loadWindow.Seconds() / math.Max(seen, 0.05)
 }
 
-// Loads returns what the pool's requests need; its region has a number of gateways.
+// Loads returns the need of the pool's requests, by service. gateways is the
+// number of gateways in the pool's region.
 func (p *Pool) Loads(now time.Time, gateways int) []Load {
 	var out []Load
 	for name, svc := range p.services {
 		l := Load{
-			Region: p.setup.Region, Service: name, Need: svc.load.slots(now) / useTarget, Gateways: gateways,
+			Region: p.setup.Region, Service: name, Need: svc.load.slots(now) / targetUtilization, Gateways: gateways,
 		}
 		for _, s := range svc.servers {
-			if s.own && !s.endpoint.Leaving && !s.cold(now) && s.misses < lostAfterMisses {
+			if s.own && !s.endpoint.Leaving && !s.cold(now) && s.connectFailures < maxConnectFailures {
 				l.Slots += s.endpoint.Slots
 			}
 		}
@@ -109,11 +117,11 @@
 	return out
 }
 
-// Lend decides which endpoints other regions may use, given the loads of all
-// regions that were heard of. It answers the load of clients that are not where
-// the endpoints are: a region that needs more slots than it has gets whole
-// endpoints of those that have more than they need, and where all need more,
-// each gets its share.
+// Lend decides which endpoints other regions may use, from the loads received
+// from all regions. Clients may be in other regions than the endpoints: a
+// region that needs more slots than it has gets whole endpoints of regions
+// that have more than they need. If all need more, each gets a proportional
+// share.
 func (p *Pool) Lend(now time.Time, loads []Load) []Loan {
 	lent := make(map[string][]string)
 	for name, svc := range p.services {
@@ -133,8 +141,8 @@
 	return out
 }
 
-// planLoans returns the slots of a service that a region lends to each other
-// one. All regions work it out alike from the same loads.
+// planLoans returns the slots of a service that the region lender lends to
+// each other region. All regions compute the same plan from the same loads.
 func planLoans(loads []Load, service, lender string) map[string]float64 {
 	need, slots, gateways := 0.0, 0.0, 0.0
 	for _, l := range loads {
@@ -144,30 +152,30 @@
 			gateways += float64(l.Gateways)
 		}
 	}
-	expected := need < expectBelow*slots && gateways > 0
+	expected := need < minLoadShare*slots && gateways > 0
 	if expected {
 		need = slots
 	}
 	if need <= 0 {
 		return nil
 	}
-	part := math.Min(1, slots/need)
+	fraction := math.Min(1, slots/need)
 	surplus, all := 0.0, 0.0
 	missing := make(map[string]float64)
 	for _, l := range loads {
 		if expected {
 			l.Need = slots * float64(l.Gateways) / gateways
 		}
-		over := float64(l.Slots) - part*l.Need
+		excess := float64(l.Slots) - fraction*l.Need
 		switch {
 		case l.Service != service:
-		case over < 0:
-			missing[l.Region] = -over
+		case excess < 0:
+			missing[l.Region] = -excess
 		case l.Region == lender:
-			surplus = over
-			all += over
+			surplus = excess
+			all += excess
 		default:
-			all += over
+			all += excess
 		}
 	}
 	for region := range missing {
@@ -176,14 +184,14 @@
 	return missing
 }
 
-// lend brings the loans of a service closer to a plan.
+// lend changes the loans of a service towards a plan.
 func (p *Pool) lend(now time.Time, svc *service, plan map[string]float64) {
 	lent := make(map[string][]*server)
-	held := 0.0
+	available := 0.0
 	for _, s := range svc.servers {
 		switch {
 		case !s.own && s.usable(now), s.own && s.lentTo == "":
-			held += float64(s.endpoint.Slots)
+			available += float64(s.endpoint.Slots)
 		case !s.own:
 		case s.endpoint.Leaving || s.cold(now):
 			s.recall(now)
@@ -191,8 +199,8 @@
 			lent[s.lentTo] = append(lent[s.lentTo], s)
 		}
 	}
-	// A region that is short itself calls back all that is over at once.
-	short := held < svc.load.slots(now)/useTarget
+	// A region that lacks slots itself recalls all excess at once.
+	short := available < svc.load.slots(now)/targetUtilization
 	for _, borrower := range sortedNames(plan, lent) {
 		if !svc.recallSome(now, plan[borrower], lent[borrower], short) {
 			svc.lendMore(now, borrower, plan[borrower], lent[borrower])
@@ -208,24 +216,24 @@
 	return n
 }
 
-// recallSome calls endpoints back if a borrower has too many, those that it has had
-// for the shortest time first. It reports whether the borrower has too many.
+// recallSome recalls endpoints, those lent last first, if a borrower has too
+// many. It reports whether the borrower has too many.
 func (svc *service) recallSome(now time.Time, slots float64, lent []*server, short bool) bool {
-	over := slotsOf(lent) - slots
-	if len(lent) == 0 || over <= recallBelow*float64(lent[0].endpoint.Slots) {
+	excess := slotsOf(lent) - slots
+	if len(lent) == 0 || excess <= recallThreshold*float64(lent[0].endpoint.Slots) {
 		return false
 	}
-	if !short && now.Sub(svc.recalled) < recallPause {
+	if !short && now.Sub(svc.lastRecall) < recallInterval {
 		return true
 	}
-	svc.recalled = now
-	most := max(1, len(lent)/recallPart)
+	svc.lastRecall = now
+	limit := max(1, len(lent)/recallDivisor)
 	if short {
-		most = len(lent)
+		limit = len(lent)
 	}
 	slices.SortFunc(lent, func(a, b *server) int { return b.lentAt.Compare(a.lentAt) })
-	for _, s := range lent[:most] {
-		if over -= float64(s.endpoint.Slots); over < 0 {
+	for _, s := range lent[:limit] {
+		if excess -= float64(s.endpoint.Slots); excess < 0 {
 			return true
 		}
 		s.recall(now)
@@ -233,12 +241,13 @@
 	return true
 }
 
-// lendMore lends a borrower what it lacks.
+// lendMore lends a borrower the endpoints that it lacks, while there are any
+// to lend.
 func (svc *service) lendMore(now time.Time, borrower string, slots float64, lent []*server) {
 	slots -= slotsOf(lent)
 	for {
 		next := svc.lendable(now)
-		if next == nil || slots <= lendAbove*float64(next.endpoint.Slots) {
+		if next == nil || slots <= lendThreshold*float64(next.endpoint.Slots) {
 			return
 		}
 		next.lentTo, next.lentAt = borrower, now
@@ -246,15 +255,15 @@
 	}
 }
 
-// lendable returns the own endpoint that keeps the fewest objects warm, so that
-// least is lost with it.
+// lendable returns the own endpoint with the fewest remembered objects, so
+// that a loan abandons few warm objects; nil if none can be lent.
 func (svc *service) lendable(now time.Time) *server {
 	var best *server
 	for _, s := range svc.servers {
 		if !s.own || !s.usable(now) || s.cold(now) {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(len(s.memory.used), len(best.memory.used)),
+		if best == nil || cmp.Or(cmp.Compare(len(s.memory.lastUse), len(best.memory.lastUse)),
 			cmp.Compare(s.endpoint.ID, best.endpoint.ID)) < 0 {
 			best = s
 		}
@@ -262,12 +271,14 @@
 	return best
 }
 
+// recall ends the loan of an own endpoint.
 func (s *server) recall(now time.Time) {
 	s.lentTo = ""
-	s.coldNext = now.Add(returnHoldBack)
+	s.nextColdGrant = now.Add(returnHoldBack)
 }
 
-// Borrow takes a lender's word of what it lends to this region.
+// Borrow applies a loan received from a lender. It replaces the lender's
+// previous loan.
 func (p *Pool) Borrow(now time.Time, l Loan) {
 	for _, s := range p.servers {
 		if s.lender == l.Lender {
@@ -277,12 +288,12 @@
 	for _, id := range l.Endpoints {
 		if s := p.servers[id]; s != nil && !s.own {
 			s.lender, s.borrowedUntil = l.Lender, now.Add(LoanTerm)
-			s.way = p.setup.Way(s.region)
+			s.roundTrip = p.setup.Way(s.region)
 		}
 	}
 }
 
-// Resume takes the loans of the region's former dispatcher over.
+// Resume takes over a loan of the region's previous dispatcher.
 func (p *Pool) Resume(now time.Time, l Loan) {
 	for _, id := range l.Endpoints {
 		if s := p.servers[id]; s != nil && s.own {
--- a/internal/core/dispatch/lend_test.go
+++ b/internal/core/dispatch/lend_test.go
@@ -12,8 +12,8 @@
 	"sassafrasreach/internal/core/registry"
 )
 
-// regionPool returns the pool of a region in a system in which each region has a
-// number of endpoints with four slots.
+// regionPool returns the pool of one region in a system where each region has
+// the given number of endpoints with four slots.
 func regionPool(now time.Time, own string, endpoints map[string]int) *dispatch.Pool {
 	pool := dispatch.NewPool(own+"/", dispatch.Setup{
 		ColdRate: func(string) float64 { return 5 }, Draw: func() float64 { return 0 }, Region: own,
@@ -31,31 +31,32 @@
 	return pool
 }
 
-// lendingSystem is the pools of all regions, which hear each other's loads and
-// loans each 300 ms.
+// lendingSystem holds the pools of all regions, which exchange loads and
+// loans every 300 ms.
 type lendingSystem struct {
-	pools map[string]*dispatch.Pool
-	now   time.Time
-	loans []dispatch.Loan
-	runs  []regionRun
-	due   map[string]float64
-	// ran counts a region's grants by window of 2 s and region of the endpoint.
-	ran map[string]map[int64]map[string]float64
+	pools    map[string]*dispatch.Pool
+	now      time.Time
+	loans    []dispatch.Loan
+	runs     []regionRun
+	arrivals map[string]float64
+	// grantCounts counts grants by the region of the request, by window of
+	// 2 s and by the region of the endpoint.
+	grantCounts map[string]map[int64]map[string]float64
 }
 
-// regionRun is a run of a region's request.
+// regionRun is a run of a request from a region.
 type regionRun struct {
 	region, grant string
-	ends          time.Time
+	endsAt        time.Time
 }
 
 func newLendingSystem(endpoints map[string]int) *lendingSystem {
 	s := &lendingSystem{
-		pools: make(map[string]*dispatch.Pool), now: time.Unix(1_800_000_000, 0), due: make(map[string]float64),
-		ran: make(map[string]map[int64]map[string]float64),
+		pools: make(map[string]*dispatch.Pool), now: time.Unix(1_800_000_000, 0), arrivals: make(map[string]float64),
+		grantCounts: make(map[string]map[int64]map[string]float64),
 	}
 	for region := range endpoints {
-		s.ran[region] = make(map[int64]map[string]float64)
+		s.grantCounts[region] = make(map[int64]map[string]float64)
 		s.pools[region] = regionPool(s.now, region, endpoints)
 		s.pools[region].SetFirm(s.now, true)
 	}
@@ -96,11 +97,11 @@
 	return n
 }
 
-// play has each region's clients send requests a second that take 200 ms, and
-// returns which part of each region's was refused.
-func (s *lendingSystem) play(seconds float64, perSecond map[string]float64) map[string]float64 {
+// run sends each region's given number of requests per second, which take
+// 200 ms each, and returns the refused share by region.
+func (s *lendingSystem) run(seconds float64, perSecond map[string]float64) map[string]float64 {
 	asked, refused := make(map[string]float64), make(map[string]float64)
-	began := func(region string, d dispatch.Decision) {
+	record := func(region string, d dispatch.Decision) {
 		if d.Grant == "" {
 			refused[region]++
 			return
@@ -113,25 +114,25 @@
 		if step%30 == 0 {
 			s.exchange()
 		}
-		for len(s.runs) > 0 && !s.runs[0].ends.After(s.now) {
+		for len(s.runs) > 0 && !s.runs[0].endsAt.After(s.now) {
 			r := s.runs[0]
 			s.runs = s.runs[1:]
 			for _, d := range s.pools[r.region].Release(s.now, r.grant, dispatch.Served, 200*time.Millisecond) {
-				began(r.region, d)
+				record(r.region, d)
 			}
 		}
 		for region, p := range s.pools {
 			for _, d := range p.Tick(s.now) {
-				began(region, d)
+				record(region, d)
 			}
-			for s.due[region] += perSecond[region] / 100; s.due[region] >= 1; s.due[region]-- {
+			for s.arrivals[region] += perSecond[region] / 100; s.arrivals[region] >= 1; s.arrivals[region]-- {
 				asked[region]++
 				id := fmt.Sprint(region, asked[region])
 				d, decided := p.Acquire(s.now, dispatch.Ask{
 					ID: id, Service: "s", Target: 300 * time.Millisecond, Deadline: s.now.Add(2 * time.Second),
 				})
 				if decided {
-					began(region, d)
+					record(region, d)
 				}
 			}
 		}
@@ -144,25 +145,25 @@
 
 func (s *lendingSystem) count(from, to string) {
 	window := s.now.Unix() / 2
-	if s.ran[from][window] == nil {
-		s.ran[from][window] = make(map[string]float64)
+	if s.grantCounts[from][window] == nil {
+		s.grantCounts[from][window] = make(map[string]float64)
 	}
-	s.ran[from][window][to]++
+	s.grantCounts[from][window][to]++
 }
 
-// worstShift is the largest part of a region's requests that changed the region
-// in which they run from one window to the next.
+// worstShift returns the largest share of a region's requests that changed
+// the region in which they run from one window to the next.
 func (s *lendingSystem) worstShift(from string) float64 {
 	worst := 0.0
-	for window, counts := range s.ran[from] {
-		next := s.ran[from][window+1]
+	for window, counts := range s.grantCounts[from] {
+		next := s.grantCounts[from][window+1]
 		all, allNext := 0.0, 0.0
 		for region := range s.pools {
 			all += counts[region]
 			allNext += next[region]
 		}
 		if all < 50 || allNext < 50 {
-			continue // not a whole window
+			continue // incomplete window
 		}
 		moved := 0.0
 		for region := range s.pools {
@@ -173,30 +174,31 @@
 	return worst
 }
 
-// TestShiftOfLoans has all clients come at once, and twice as many later: what
-// runs elsewhere changes by no more than the bound between windows.
-func TestShiftOfLoans(t *testing.T) {
+// TestShiftLimitWithLoans guards against loans that move too many requests to
+// other regions at once. All clients start at the same time, and the load of
+// one region doubles later.
+func TestShiftLimitWithLoans(t *testing.T) {
 	is := is.New(t)
 	s := newLendingSystem(map[string]int{"big": 9, "mid": 9, "few": 2})
 	for range 4 {
 		s.exchange()
 		s.now = s.now.Add(500 * time.Millisecond)
 	}
-	s.play(12, map[string]float64{"big": 60, "mid": 60, "few": 60})
-	s.play(8, map[string]float64{"big": 60, "mid": 60, "few": 120})
+	s.run(12, map[string]float64{"big": 60, "mid": 60, "few": 60})
+	s.run(8, map[string]float64{"big": 60, "mid": 60, "few": 120})
 	is.True(s.worstShift("few") <= 0.15)
 }
 
-// TestLending answers the load of clients that are not where the endpoints are:
-// a region with a tenth of the endpoints and a third of the clients. Without
-// loans most of its requests are refused; with them hardly any are, although each
-// region grants only slots that it holds.
+// TestLending guards against refusals in a region with a tenth of the
+// endpoints and a third of the clients. Without loans most of its requests
+// are refused. With loans hardly any are, although each pool grants only the
+// slots that it holds.
 func TestLending(t *testing.T) {
 	is := is.New(t)
 	s := newLendingSystem(map[string]int{"big": 9, "mid": 9, "few": 2})
 	even := map[string]float64{"big": 90, "mid": 90, "few": 90} // 18 of 80 slots each
-	s.play(3, even)
-	refused := s.play(10, even)
+	s.run(3, even)
+	refused := s.run(10, even)
 	for _, part := range refused {
 		is.True(part < 0.02)
 	}
@@ -204,57 +206,60 @@
 	is.Equal(s.lent("big")+s.lent("mid"), 0)
 }
 
-// TestLendingUnderOverload answers offered work above all capacity: no region is
-// refused much more often than another.
+// TestLendingUnderOverload guards against a region that is refused much more
+// often than others when the offered load exceeds the capacity of all
+// regions.
 func TestLendingUnderOverload(t *testing.T) {
 	is := is.New(t)
 	s := newLendingSystem(map[string]int{"big": 9, "mid": 9, "few": 2})
 	heavy := map[string]float64{"big": 200, "mid": 200, "few": 200} // 120 of 80 slots
-	s.play(4, heavy)
-	refused := s.play(10, heavy)
+	s.run(4, heavy)
+	refused := s.run(10, heavy)
 	for _, part := range refused {
 		is.True(part > 0.2 && part < 0.5)
 	}
 }
 
-// TestLendingFollows has the load move on: what isn't needed any more is called
-// back, one endpoint after the other.
-func TestLendingFollows(t *testing.T) {
+// TestUnneededLoansRecalled guards against loans that stay after the
+// borrower's load has dropped. Endpoints are recalled gradually.
+func TestUnneededLoansRecalled(t *testing.T) {
 	is := is.New(t)
 	s := newLendingSystem(map[string]int{"big": 9, "mid": 9, "few": 2})
-	s.play(6, map[string]float64{"big": 20, "mid": 20, "few": 120})
+	s.run(6, map[string]float64{"big": 20, "mid": 20, "few": 120})
 	is.True(s.lent("few") >= 4)
-	s.play(16, map[string]float64{"big": 20, "mid": 20, "few": 10})
+	s.run(16, map[string]float64{"big": 20, "mid": 20, "few": 10})
 	is.True(s.lent("few") <= 1)
 }
 
-// TestLendingAfterAStorm answers a storm of retries that has passed: a large region
-// that lent most of its endpoints has as many as it needs again within two seconds
-// of news.
-func TestLendingAfterAStorm(t *testing.T) {
+// TestLendingAfterRetryStorm guards against a slow recall after a retry
+// storm: a large region that lent most of its endpoints must have as many as
+// it needs again four seconds after its own load rises.
+func TestLendingAfterRetryStorm(t *testing.T) {
 	is := is.New(t)
 	s := newLendingSystem(map[string]int{"big": 120, "few": 4})
-	s.play(6, map[string]float64{"big": 20, "few": 1400})
+	s.run(6, map[string]float64{"big": 20, "few": 1400})
 	is.True(s.lent("few") >= 80)
-	s.play(4, map[string]float64{"big": 20, "few": 200}) // the average follows
-	s.play(4, map[string]float64{"big": 1000, "few": 200})
-	refused := s.play(4, map[string]float64{"big": 1000, "few": 200})
+	s.run(4, map[string]float64{"big": 20, "few": 200}) // the load average decays
+	s.run(4, map[string]float64{"big": 1000, "few": 200})
+	refused := s.run(4, map[string]float64{"big": 1000, "few": 200})
 	is.True(refused["big"] < 0.02)
 	is.True(s.lent("few") <= 30)
 }
 
-// TestLendingAhead has nobody ask anything yet: each region gets the part of the
-// endpoints that its gateways let expect.
-func TestLendingAhead(t *testing.T) {
+// TestLendingBeforeTraffic guards against a region without endpoints when the
+// first requests arrive: before any request, each region gets endpoints in
+// proportion to its gateways.
+func TestLendingBeforeTraffic(t *testing.T) {
 	is := is.New(t)
 	s := newLendingSystem(map[string]int{"big": 9, "mid": 9, "few": 2})
 	s.exchange()
 	is.True(s.lent("few") >= 4)
 }
 
-// TestGoneWhileAwaited has an endpoint end while a request waits for it: the slot
-// that comes free there is granted to nobody.
-func TestGoneWhileAwaited(t *testing.T) {
+// TestEndpointGoneWithQueuedAsk guards against a grant at an endpoint that
+// has gone: the endpoint goes while an ask is queued for it, and one of its
+// slots is released afterwards.
+func TestEndpointGoneWithQueuedAsk(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	pool := regionPool(now, "big", map[string]int{"big": 1})
@@ -271,8 +276,9 @@
 	is.Equal(len(pool.Release(now, grants[0], dispatch.Served, time.Second)), 0)
 }
 
-// TestLoanEnds has a borrower hear nothing more: it uses what it borrowed for the
-// term and not beyond, and a cold endpoint not at all.
+// TestLoanEnds guards against the use of an endpoint after its loan. A
+// borrower that receives nothing further uses the endpoint until the end of
+// the term, and a cold endpoint not at all.
 func TestLoanEnds(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -295,9 +301,10 @@
 	is.True(!ask("cold"))
 }
 
-// TestLoansOutliveTheirDispatcher has the lender's dispatcher replaced: the new
-// one goes on with the loans that it heard of.
-func TestLoansOutliveTheirDispatcher(t *testing.T) {
+// TestLoansSurviveDispatcherFailover guards against loans that change when
+// the lender's dispatcher is replaced: the new one continues the loans that
+// it received.
+func TestLoansSurviveDispatcherFailover(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	pool := regionPool(now, "big", map[string]int{"big": 2})
--- a/internal/core/dispatch/policies_test.go
+++ b/internal/core/dispatch/policies_test.go
@@ -12,10 +12,10 @@
 	"sassafrasreach/internal/core/registry"
 )
 
-// baseline sends each request to an endpoint at once, where it waits for a slot or,
-// if the endpoint's queue is full, is refused.
+// baseline assigns each request to an endpoint immediately. There it waits
+// for a slot or, if the endpoint's queue is full, is refused.
 type baseline struct {
-	pick      func(b *baseline) int
+	choose    func(b *baseline) int
 	slots     int
 	busy      []int
 	queues    [][]dispatch.Ask
@@ -23,17 +23,18 @@
 	count     int
 }
 
-func newBaseline(s scene, pick func(b *baseline) int) *baseline {
+func newBaseline(s workload, choose func(b *baseline) int) *baseline {
 	return &baseline{
-		pick: pick, slots: s.slots, busy: make([]int, s.endpoints), queues: make([][]dispatch.Ask, s.endpoints),
+		choose: choose, slots: s.slots, busy: make([]int, s.endpoints), queues: make([][]dispatch.Ask, s.endpoints),
 		endpoints: make(map[string]int),
 	}
 }
 
-// atRandom and leastInFlight are the usual policies without a common view.
+// atRandom and leastInFlight are common policies that need no shared view of
+// the endpoints.
 func atRandom() func(b *baseline) int {
-	draw := rand.New(rand.NewPCG(5, 6))
-	return func(b *baseline) int { return draw.IntN(len(b.busy)) }
+	random := rand.New(rand.NewPCG(5, 6))
+	return func(b *baseline) int { return random.IntN(len(b.busy)) }
 }
 
 func leastInFlight(b *baseline) int {
@@ -46,7 +47,8 @@
 	return best
 }
 
-// queueFactor is the length of an endpoint's queue in slots.
+// queueFactor is the length of an endpoint's queue as a multiple of its
+// slots.
 const queueFactor = 3
 
 func (b *baseline) grant(i int, a dispatch.Ask) dispatch.Decision {
@@ -58,7 +60,7 @@
 }
 
 func (b *baseline) Acquire(_ time.Time, a dispatch.Ask) (dispatch.Decision, bool) {
-	i := b.pick(b)
+	i := b.choose(b)
 	switch {
 	case b.busy[i] < b.slots:
 		return b.grant(i, a), true
@@ -84,35 +86,35 @@
 
 func (b *baseline) Tick(time.Time) []dispatch.Decision { return nil }
 
-// TestPolicies compares the pool with the usual policies, on the same requests: by
-// the share that is served within the target. It has to serve at least as many as
-// either under each load, and at least twice as many under offered work that is
-// above capacity when cold.
+// TestPolicies guards against a pool that serves fewer requests within the
+// target than common policies do on the same requests. It must serve at least
+// as many under each load, within 0.01 of the share, and at least twice as
+// many when the offered load exceeds the capacity of cold runs.
 func TestPolicies(t *testing.T) {
-	usual := scene{
-		endpoints: 8, slots: 9, keeps: 30, objects: 150, perSecond: 60, lasts: 30 * time.Second,
+	usual := workload{
+		endpoints: 8, slots: 9, capacity: 30, objects: 150, perSecond: 60, duration: 30 * time.Second,
 		cold: 900 * time.Millisecond, warm: 270 * time.Millisecond, target: 600 * time.Millisecond,
 	}
-	loads := map[string]func(s scene) scene{
-		"usual":          func(s scene) scene { return s },
-		"above capacity": func(s scene) scene { s.perSecond = 130; return s },
-		"a burst":        func(s scene) scene { s.perSecond, s.burst = 100, 2.5; return s },
-		"nothing is kept warm": func(s scene) scene {
+	loads := map[string]func(s workload) workload{
+		"usual":          func(s workload) workload { return s },
+		"above capacity": func(s workload) workload { s.perSecond = 130; return s },
+		"a burst":        func(s workload) workload { s.perSecond, s.burst = 100, 2.5; return s },
+		"nothing is kept warm": func(s workload) workload {
 			s.warm, s.cold = 270*time.Millisecond, 270*time.Millisecond
 			s.perSecond = 200
 			return s
 		},
-		"more objects than fit": func(s scene) scene { s.objects, s.perSecond = 400, 100; return s },
+		"more objects than fit": func(s workload) workload { s.objects, s.perSecond = 400, 100; return s },
 	}
 	for name, load := range loads {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := load(usual)
 			now := time.Unix(1_800_000_000, 0)
-			share := func(p played) float64 { return float64(p.inTarget) / float64(p.asked) }
-			random := share(s.playOn(now, newBaseline(s, atRandom()), true))
-			least := share(s.playOn(now, newBaseline(s, leastInFlight), true))
-			pool := share(s.play(true))
+			share := func(p results) float64 { return float64(p.inTarget) / float64(p.asked) }
+			random := share(s.runOn(now, newBaseline(s, atRandom()), true))
+			least := share(s.runOn(now, newBaseline(s, leastInFlight), true))
+			pool := share(s.run(true))
 			t.Logf("in target: at random %.3f, least in flight %.3f, pool %.3f", random, least, pool)
 			is.True(pool >= max(random, least)-0.01)
 			if name == "above capacity" {
--- a/internal/core/dispatch/pool.go
+++ b/internal/core/dispatch/pool.go
@@ -8,65 +8,73 @@
 	"sassafrasreach/internal/core/registry"
 )
 
-// Pool grants the slots of a region's endpoints, and of those that other regions
-// lend it. It is not safe for concurrent use.
+// Pool grants the slots of a region's endpoints and of the endpoints that
+// other regions lend it. It is not safe for concurrent use.
 type Pool struct {
-	setup    Setup
-	services map[string]*service
-	servers  map[string]*server
-	grants   map[string]grant
-	count    uint64
-	prefix   string
-	shift    *ShiftMeter
-	// unsettledUntil is until when objects may change regions freely.
-	unsettledUntil time.Time
-	brokeOff       time.Time
-	// firmSince is since when no other pool has the same endpoints; zero while
-	// that isn't sure.
-	firmSince time.Time
+	setup      Setup
+	services   map[string]*service
+	servers    map[string]*server
+	grants     map[string]grant
+	grantCount uint64
+	prefix     string
+	shift      *ShiftMeter
+	// shiftSuspendedUntil is the time until which objects may move between
+	// regions without limit.
+	shiftSuspendedUntil time.Time
+	// lastBreak is the time of the last broken or failed connection.
+	lastBreak time.Time
+	// exclusiveSince is the time since which no other pool can grant the same
+	// endpoints; zero while that is not certain.
+	exclusiveSince time.Time
 }
 
-// service is the part of a pool that serves one service.
+// service is the state of one service in a pool.
 type service struct {
 	servers []*server
-	// ranked are the servers by what a new object costs at them, as of the last
-	// tick; slots and free are the sums of usable slots then.
+	// ranked holds the servers ordered by the cost of a new object, as of the
+	// last tick. slots and free are the sums over usable servers at that
+	// time.
 	ranked      []*server
 	slots, free int
-	// meanKept is the mean number of objects kept by an endpoint as of the last tick.
+	// meanKept is the mean number of objects kept warm by a usable endpoint,
+	// as of the last tick.
 	meanKept float64
-	// turn is where the next look at waiting asks begins.
-	turn int
-	// keepers are the endpoints that remember an object.
-	keepers map[string][]*server
-	queue   []waiting
-	// undecided counts the asks that wait for no endpoint in particular.
-	undecided int
-	kinds     map[string]*kind
-	retries   retries
-	kept      *keptMeter
-	load      loadMeter
-	// took is the moving average over all its answers, in seconds.
-	took float64
-	// served is when it was served first; zero before.
-	served time.Time
-	// least is the least urgent priority that was seen.
-	least int
-	// recalled is when an endpoint was last called back.
-	recalled time.Time
+	// nextReconsidered is the queue position, modulo the queue's length,
+	// where the next tick continues to reconsider asks.
+	nextReconsidered int
+	// servedBy lists the endpoints whose memory holds an object.
+	servedBy map[string][]*server
+	queue    []queuedAsk
+	// queuedForAny counts the queued asks without a preferred endpoint.
+	queuedForAny int
+	kinds        map[string]*kind
+	retries      retries
+	kept         *keptMeter
+	load         loadMeter
+	// slotTime is the moving average, in seconds, of the time for which a
+	// served request uses its slot.
+	slotTime float64
+	// firstServed is the time of the first served request; zero before.
+	firstServed time.Time
+	// leastUrgent is the highest Priority, that of the least urgent ask,
+	// received so far.
+	leastUrgent int
+	// lastRecall is the time of the last recall of lent endpoints.
+	lastRecall time.Time
 }
 
+// grant is a slot in use.
 type grant struct {
 	server  *server
 	service *service
 	kind    *kind
-	// depth is the number of other objects that the endpoint has served since it
-	// last served this one; -1 if it isn't known to have.
+	// depth is the number of other objects that the endpoint has served since
+	// it last served this one; -1 if its memory doesn't hold the object.
 	depth   int
 	expires time.Time
 }
 
-// NewPool returns an empty pool whose grants' names begin with prefix.
+// NewPool returns an empty pool. The IDs of its grants begin with prefix.
 func NewPool(prefix string, setup Setup) *Pool {
 	return &Pool{
 		setup: setup, prefix: prefix, shift: NewShiftMeter(setup.MaxShift),
@@ -74,13 +82,13 @@
 	}
 }
 
-// Learn takes news of an endpoint, of the own region or another. One that is gone
-// keeps its grants until they end.
+// Learn applies an announcement of an endpoint in any region. The grants of
+// an endpoint that is gone stay until they are released or expire.
 func (p *Pool) Learn(now time.Time, e registry.Endpoint) {
 	old := p.servers[e.ID]
 	if old != nil && old.endpoint.Service == e.Service && old.endpoint.Born == e.Born && !e.Gone {
 		if e.Leaving && !old.endpoint.Leaving {
-			p.lost(now, old)
+			p.noteLoss(now, old)
 		}
 		old.endpoint = e
 		return
@@ -92,7 +100,7 @@
 	s := newServer(e)
 	s.region = p.setup.RegionOf(e.Zone)
 	if s.own = s.region == p.setup.Region; !s.own {
-		s.way = p.setup.Way(s.region)
+		s.roundTrip = p.setup.Way(s.region)
 	}
 	p.servers[e.ID] = s
 	svc := p.service(e.Service)
@@ -106,68 +114,70 @@
 	if s == nil {
 		return
 	}
-	p.lost(now, s)
-	s.endpoint.Gone = true // asks may still wait for it
+	p.noteLoss(now, s)
+	s.endpoint.Gone = true // queued asks may still refer to it
 	delete(p.servers, id)
 	svc := p.service(s.endpoint.Service)
-	gone := func(o *server) bool { return o == s }
-	svc.servers, svc.ranked = slices.DeleteFunc(svc.servers, gone), slices.DeleteFunc(svc.ranked, gone)
-	for object := range s.memory.used {
+	isServer := func(o *server) bool { return o == s }
+	svc.servers, svc.ranked = slices.DeleteFunc(svc.servers, isServer), slices.DeleteFunc(svc.ranked, isServer)
+	for object := range s.memory.lastUse {
 		svc.forget(object, s)
 	}
 }
 
-// lost notes that an endpoint takes no more requests.
-func (p *Pool) lost(now time.Time, s *server) {
-	if s.held(now) && !s.endpoint.Leaving {
+// noteLoss suspends the limit on shifts between regions if the pool granted
+// the endpoint's slots until now.
+func (p *Pool) noteLoss(now time.Time, s *server) {
+	if s.grantable(now) && !s.endpoint.Leaving {
 		p.Unsettle(now)
 	}
 }
 
-// Unsettle lets objects change regions freely for a while, because endpoints,
-// controllers or connections were lost.
-func (p *Pool) Unsettle(now time.Time) { p.unsettledUntil = now.Add(unsettledFor) }
+// Unsettle lets objects move between regions without limit for a while,
+// because endpoints, controllers or connections were lost.
+func (p *Pool) Unsettle(now time.Time) { p.shiftSuspendedUntil = now.Add(shiftSuspension) }
 
 func (p *Pool) service(name string) *service {
 	svc := p.services[name]
 	if svc == nil {
 		svc = &service{
-			kinds: make(map[string]*kind), keepers: make(map[string][]*server), kept: newKeptMeter(),
+			kinds: make(map[string]*kind), servedBy: make(map[string][]*server), kept: newKeptMeter(),
 		}
 		p.services[name] = svc
 	}
 	return svc
 }
 
-// SetFirm says whether no other pool can have the same endpoints. While that
-// isn't sure, and for as long after as a former pool's grants may still be on
-// their way, cold endpoints get nothing: their rate counts over all pools.
-func (p *Pool) SetFirm(now time.Time, firm bool) {
+// SetFirm sets whether it is certain that no other pool can grant the same
+// endpoints. Cold endpoints get no requests while it is not, and for
+// coldHoldBack afterwards, because grants of a former pool may still be in
+// transit and the rate of a cold endpoint counts over all pools.
+func (p *Pool) SetFirm(now time.Time, exclusive bool) {
 	switch {
-	case !firm:
-		p.firmSince = time.Time{}
-	case p.firmSince.IsZero():
-		p.firmSince = now
+	case !exclusive:
+		p.exclusiveSince = time.Time{}
+	case p.exclusiveSince.IsZero():
+		p.exclusiveSince = now
 	}
 	holdBack := now.Add(coldHoldBack)
-	if firm {
-		holdBack = p.firmSince.Add(coldHoldBack)
+	if exclusive {
+		holdBack = p.exclusiveSince.Add(coldHoldBack)
 	}
 	for _, s := range p.servers {
-		if s.coldNext.Before(holdBack) {
-			s.coldNext = holdBack
+		if s.nextColdGrant.Before(holdBack) {
+			s.nextColdGrant = holdBack
 		}
 	}
 }
 
-// Acquire decides an ask at once, or returns false when it has to wait; Release
-// and Tick decide it then.
+// Acquire decides an ask at once, or queues it and returns false. Release or
+// Tick returns the decision of a queued ask.
 func (p *Pool) Acquire(now time.Time, a Ask) (Decision, bool) {
 	svc := p.service(a.Service)
 	if !a.Again {
 		svc.load.add(now, svc.kind(a).expected(a.object() != ""))
-		svc.retries.request(now, p.setup.Retries)
-		svc.least = max(svc.least, a.Priority)
+		svc.retries.countRequest(now, p.setup.Retries)
+		svc.leastUrgent = max(svc.leastUrgent, a.Priority)
 	}
 	if !slices.ContainsFunc(svc.servers, func(s *server) bool { return s.usable(now) }) {
 		return p.refuse(now, a, ReasonNoEndpoint), true
@@ -175,21 +185,21 @@
 	if a.Again && !svc.retries.take(now, p.setup.Retries) {
 		return p.refuse(now, a, ReasonRetryBudget), true
 	}
-	svc.adopt(a)
+	svc.applyHint(a)
 	best := p.choose(now, svc, a)
 	if best != nil && best.free(now) {
 		return p.grant(now, svc, best, a), true
 	}
 	until := now.Add(svc.maxWait(a))
-	if !until.Before(a.Deadline) || !until.After(now) || svc.hopeless(a) {
-		return p.lastResort(now, svc, a), true
+	if !until.Before(a.Deadline) || !until.After(now) || svc.queueTooLong(a) {
+		return p.grantNowOrRefuse(now, svc, a), true
 	}
-	svc.enqueue(waiting{ask: a, until: until, want: best})
+	svc.enqueue(queuedAsk{ask: a, until: until, preferred: best})
 	return Decision{}, false
 }
 
-// kind returns what is known of the ask's kind; at first its time is taken to
-// be the target.
+// kind returns the statistics of the ask's kind. A new kind's cold run time
+// is assumed to be the ask's target.
 func (svc *service) kind(a Ask) *kind {
 	k := svc.kinds[a.Kind]
 	if k == nil {
@@ -199,7 +209,8 @@
 	return k
 }
 
-// object names what an endpoint keeps warm; empty if nothing.
+// object returns the key of the ask's object within its service; empty if
+// none.
 func (a Ask) object() string {
 	if a.Affinity == "" {
 		return ""
@@ -208,8 +219,8 @@
 }
 
 func (p *Pool) grant(now time.Time, svc *service, s *server, a Ask) Decision {
-	p.count++
-	id := p.prefix + strconv.FormatUint(p.count, 36)
+	p.grantCount++
+	id := p.prefix + strconv.FormatUint(p.grantCount, 36)
 	object := a.object()
 	g := grant{server: s, service: svc, kind: svc.kind(a), depth: -1, expires: a.Deadline.Add(graceAfterDeadline)}
 	if depth, known := s.memory.depth(object); known {
@@ -219,14 +230,15 @@
 	s.granted++
 	svc.touch(object, s)
 	if s.cold(now) {
-		s.coldNext = now.Add(coldGap(p.setup.ColdRate(a.Service)))
+		s.nextColdGrant = now.Add(coldGap(p.setup.ColdRate(a.Service)))
 	}
-	p.shift.Count(now, s.region, now.Before(p.unsettledUntil))
+	p.shift.Count(now, s.region, now.Before(p.shiftSuspendedUntil))
 	p.grants[id] = g
 	return Decision{Ask: a, Grant: id, Endpoint: s.endpoint, Region: s.region}
 }
 
-// coldGap is the time between two requests at a cold endpoint.
+// coldGap returns the time between two requests at a cold endpoint; one
+// second if no rate is set.
 func coldGap(perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return time.Second
@@ -234,14 +246,16 @@
 	return time.Duration(float64(time.Second) / perSecond)
 }
 
-func (p *Pool) refuse(now time.Time, a Ask, why Reason) Decision {
+func (p *Pool) refuse(now time.Time, a Ask, reason Reason) Decision {
 	left := a.Deadline.Sub(now)
-	most := left / retryThird
-	after := time.Duration((0.7 + 0.3*p.setup.Draw()) * float64(most))
-	return Decision{Ask: a, Reason: why, RetryAfter: max(after, retryFloor)}
+	limit := left / retryAfterDivisor
+	after := time.Duration((0.7 + 0.3*p.setup.Draw()) * float64(limit))
+	return Decision{Ask: a, Reason: reason, RetryAfter: max(after, minRetryAfter)}
 }
 
-// Release gives a slot back and returns the waiting asks that it decides.
+// Release ends a grant, records its outcome and the time that it took, and
+// returns the decisions of the queued asks that get a slot by it. An unknown
+// ID changes nothing.
 func (p *Pool) Release(now time.Time, id string, outcome Outcome, took time.Duration) []Decision {
 	g, ok := p.grants[id]
 	if !ok {
@@ -251,36 +265,37 @@
 	s, svc := g.server, g.service
 	s.inFlight--
 	warm := g.depth >= 0 && g.depth < svc.kept.limit
-	run := max(0, (took - s.way).Seconds())
-	s.ended(now, outcome, run, g.kind.expected(warm))
+	run := max(0, (took - s.roundTrip).Seconds())
+	s.observeOutcome(now, outcome, run, g.kind.expected(warm))
 	if outcome == Served {
-		svc.ran(now, g, run, took.Seconds())
+		svc.observeRun(now, g, run, took.Seconds())
 	}
 	if outcome == Broken || outcome == Unreachable {
-		if now.Sub(p.brokeOff) < breaksApart {
+		if now.Sub(p.lastBreak) < maxBreakInterval {
 			p.Unsettle(now)
 		}
-		p.brokeOff = now
+		p.lastBreak = now
 	}
-	return p.serveAt(now, svc, s)
+	return p.grantQueuedAt(now, svc, s)
 }
 
-// ran takes the time of a run, and of its whole use of a slot.
-func (svc *service) ran(now time.Time, g grant, run, took float64) {
+// observeRun records a served request: run is the run time, and slotTime the
+// time for which it used its slot, both in seconds.
+func (svc *service) observeRun(now time.Time, g grant, run, slotTime float64) {
 	if g.depth >= 0 {
 		if warm, known := g.kind.ranWarm(run); known {
 			svc.kept.observe(g.depth, warm)
 		}
 	}
 	g.kind.observe(g.depth >= 0 && g.depth < svc.kept.limit, run)
-	if svc.took == 0 {
-		svc.took, svc.served = took, now
+	if svc.slotTime == 0 {
+		svc.slotTime, svc.firstServed = slotTime, now
 	}
-	svc.took += smoothing / 2 * (took - svc.took)
+	svc.slotTime += smoothing / 2 * (slotTime - svc.slotTime)
 }
 
-// Tick ends the waits and the grants whose time is over and returns the asks
-// that are decided by it.
+// Tick removes expired grants, reconsiders queued asks, and returns the
+// decisions of those that get a slot or whose wait has ended.
 func (p *Pool) Tick(now time.Time) []Decision {
 	for id, g := range p.grants {
 		if now.After(g.expires) {
@@ -291,7 +306,7 @@
 	var out []Decision
 	for _, svc := range p.services {
 		svc.rank(now)
-		out = append(out, p.serve(now, svc)...)
+		out = append(out, p.processQueue(now, svc)...)
 	}
 	return out
 }
--- a/internal/core/dispatch/queue.go
+++ b/internal/core/dispatch/queue.go
@@ -6,65 +6,67 @@
 	"time"
 )
 
-// waiting is an ask in a queue.
-type waiting struct {
+// queuedAsk is an ask in a queue; it may wait until the given time.
+type queuedAsk struct {
 	ask   Ask
 	until time.Time
-	// want is the endpoint that it waits for; nil if any will do.
-	want *server
+	// preferred is the endpoint that it waits for; nil if any will do.
+	preferred *server
 }
 
 // enqueue adds an ask behind those of its priority.
-func (svc *service) enqueue(w waiting) {
+func (svc *service) enqueue(w queuedAsk) {
 	at := len(svc.queue)
 	for at > 0 && svc.queue[at-1].ask.Priority > w.ask.Priority {
 		at--
 	}
 	svc.queue = slices.Insert(svc.queue, at, w)
-	svc.wants(w, 1)
+	svc.countQueued(w, 1)
 }
 
-// wants counts an ask at the endpoint that it waits for.
-func (svc *service) wants(w waiting, n int) {
-	if w.want != nil {
-		w.want.wanted += n
+// countQueued adds n to the number of queued asks that have the same
+// preferred endpoint as w.
+func (svc *service) countQueued(w queuedAsk, n int) {
+	if w.preferred != nil {
+		w.preferred.queuedFor += n
 	} else {
-		svc.undecided += n
+		svc.queuedForAny += n
 	}
 }
 
-// remove takes an ask out of the queue.
+// remove removes the ask at index i from the queue.
 func (svc *service) remove(i int) {
-	svc.wants(svc.queue[i], -1)
+	svc.countQueued(svc.queue[i], -1)
 	svc.queue = slices.Delete(svc.queue, i, i+1)
 }
 
-// maxWait is how long an ask may wait: as long as the answer can still be in
-// time if its object is warm, and a little if it can't.
+// maxWait returns how long an ask may wait: until the answer, with the object
+// warm, would miss the target, but at least minWaitShare of the target.
 func (svc *service) maxWait(a Ask) time.Duration {
 	run := time.Duration(svc.kind(a).expected(a.object() != "") * float64(time.Second))
-	return max(a.Target-run, time.Duration(waitShare*float64(a.Target)))
+	return max(a.Target-run, time.Duration(minWaitShare*float64(a.Target)))
 }
 
-// hopeless says whether the requests that go first will take all slots that
-// come free in the time that the ask may wait.
-func (svc *service) hopeless(a Ask) bool {
-	if len(svc.queue) == 0 || svc.took == 0 {
+// queueTooLong reports whether the asks that go first are expected to take
+// all slots that become free in the time that the ask may wait.
+func (svc *service) queueTooLong(a Ask) bool {
+	if len(svc.queue) == 0 || svc.slotTime == 0 {
 		return false
 	}
-	ahead, _ := slices.BinarySearchFunc(svc.queue, a.Priority+1, func(w waiting, priority int) int {
+	ahead, _ := slices.BinarySearchFunc(svc.queue, a.Priority+1, func(w queuedAsk, priority int) int {
 		return cmp.Compare(w.ask.Priority, priority)
 	})
-	return float64(ahead+1) > float64(svc.slots)/svc.took*svc.maxWait(a).Seconds()
+	return float64(ahead+1) > float64(svc.slots)/svc.slotTime*svc.maxWait(a).Seconds()
 }
 
-// serveAt grants the free slots of one endpoint to those that wait for it or for
-// any.
-func (p *Pool) serveAt(now time.Time, svc *service, s *server) []Decision {
+// grantQueuedAt grants the free slots of one endpoint to the asks that wait
+// for it, and to those that wait for any and for which it is now the best
+// choice.
+func (p *Pool) grantQueuedAt(now time.Time, svc *service, s *server) []Decision {
 	var out []Decision
-	for i := 0; i < len(svc.queue) && s.wanted+svc.undecided > 0 && s.free(now); {
+	for i := 0; i < len(svc.queue) && s.queuedFor+svc.queuedForAny > 0 && s.free(now); {
 		w := svc.queue[i]
-		if w.want != s && (w.want != nil || p.choose(now, svc, w.ask) != s) || !fits(now, s, w.ask) {
+		if w.preferred != s && (w.preferred != nil || p.choose(now, svc, w.ask) != s) || !eligible(now, s, w.ask) {
 			i++
 			continue
 		}
@@ -74,32 +76,33 @@
 	return out
 }
 
-// serve ends the waits whose time is over, and looks anew at some of the others:
-// what they wait for may have changed. Those that wait for nothing, or for an
-// endpoint that isn't usable any more, are always looked at.
-func (p *Pool) serve(now time.Time, svc *service) []Decision {
+// processQueue grants or refuses the asks that may not wait any longer and
+// reconsiders some of the others, since their best endpoint may have changed.
+// Asks without a preferred endpoint, or whose preferred endpoint is no longer
+// usable, are reconsidered on each call.
+func (p *Pool) processQueue(now time.Time, svc *service) []Decision {
 	var out []Decision
 	n := len(svc.queue)
-	looks := min(n, mostLooks)
-	first := svc.turn
-	svc.turn += looks
+	reconsidered := min(n, maxReconsidered)
+	first := svc.nextReconsidered
+	svc.nextReconsidered += reconsidered
 	kept := svc.queue[:0]
 	for i, w := range svc.queue {
-		due := (i-first%max(n, 1)+n)%max(n, 1) < looks
-		if due || w.want == nil || !w.want.usable(now) {
-			svc.wants(w, -1)
-			w.want = p.choose(now, svc, w.ask)
-			svc.wants(w, 1)
+		due := (i-first%max(n, 1)+n)%max(n, 1) < reconsidered
+		if due || w.preferred == nil || !w.preferred.usable(now) {
+			svc.countQueued(w, -1)
+			w.preferred = p.choose(now, svc, w.ask)
+			svc.countQueued(w, 1)
 		}
 		switch {
-		case w.want != nil && w.want.free(now):
-			svc.wants(w, -1)
-			out = append(out, p.grant(now, svc, w.want, w.ask))
+		case w.preferred != nil && w.preferred.free(now):
+			svc.countQueued(w, -1)
+			out = append(out, p.grant(now, svc, w.preferred, w.ask))
 		case now.Before(w.until):
 			kept = append(kept, w)
 		default:
-			svc.wants(w, -1)
-			out = append(out, p.lastResort(now, svc, w.ask))
+			svc.countQueued(w, -1)
+			out = append(out, p.grantNowOrRefuse(now, svc, w.ask))
 		}
 	}
 	clear(svc.queue[len(kept):])
@@ -107,10 +110,10 @@
 	return out
 }
 
-// Cancel takes an ask out of its queue.
+// Cancel removes an ask from its queue, if it is queued.
 func (p *Pool) Cancel(serviceName, id string) {
 	svc := p.service(serviceName)
-	if i := slices.IndexFunc(svc.queue, func(w waiting) bool { return w.ask.ID == id }); i >= 0 {
+	if i := slices.IndexFunc(svc.queue, func(w queuedAsk) bool { return w.ask.ID == id }); i >= 0 {
 		svc.remove(i)
 	}
 }
--- a/internal/core/dispatch/refusal_test.go
+++ b/internal/core/dispatch/refusal_test.go
@@ -11,17 +11,18 @@
 	"sassafrasreach/internal/core/registry"
 )
 
-// TestRefusalsWithFreeSlots answers the load of endpoints that refuse a share of
-// their requests while they are nearly idle: their objects stay where they are
-// warm, and no request is turned away for want of an endpoint.
-func TestRefusalsWithFreeSlots(t *testing.T) { keepObjects(t, dispatch.Refused) }
+// TestRefusalsWithFreeSlots guards against lost warm objects and needless
+// refusals when endpoints refuse a share of their requests while nearly idle:
+// objects stay where they are warm, and each request gets a slot.
+func TestRefusalsWithFreeSlots(t *testing.T) { checkObjectsStay(t, dispatch.Refused) }
 
-// TestLostAnswers answers the load of endpoints that lose a share of their answers
-// or forget idle connections, in the same way.
-func TestLostAnswers(t *testing.T) { keepObjects(t, dispatch.Broken) }
+// TestBrokenConnections is the same for endpoints that lose a share of their
+// answers or drop idle connections.
+func TestBrokenConnections(t *testing.T) { checkObjectsStay(t, dispatch.Broken) }
 
-// keepObjects has half of the requests end with an outcome, at all endpoints.
-func keepObjects(t *testing.T, end dispatch.Outcome) {
+// checkObjectsStay ends half of the requests at all endpoints with the
+// outcome failure.
+func checkObjectsStay(t *testing.T, failure dispatch.Outcome) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	pool := regionPool(now, "own", map[string]int{"own": 6})
@@ -40,7 +41,7 @@
 		places[object][d.Endpoint.ID] = true
 		outcome, took := dispatch.Served, 50*time.Millisecond
 		if i > 300 && i%2 == i/12%2 {
-			outcome, took = end, time.Millisecond
+			outcome, took = failure, time.Millisecond
 		}
 		pool.Release(now.Add(time.Millisecond), d.Grant, outcome, took)
 	}
@@ -48,11 +49,11 @@
 	for _, endpoints := range places {
 		copies += len(endpoints)
 	}
-	is.True(copies <= 12+6) // one for each object, and a try of each endpoint
+	is.True(copies <= 12+6) // one for each object, and one trial of each endpoint
 }
 
-// TestRefusalsWhenFull has an endpoint refuse while all of its slots are in use: it
-// is passed over for a moment.
+// TestRefusalsWhenFull guards against further requests to an endpoint that
+// has just refused one while all its slots were in use.
 func TestRefusalsWhenFull(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/core/dispatch/retry.go
+++ b/internal/core/dispatch/retry.go
@@ -2,68 +2,69 @@
 
 import "time"
 
-// RetryBudget bounds the second sends of a service's requests. All dispatchers
-// together keep within the bound, since each uses its own requests and a fixed
-// share of the extra.
+// RetryBudget limits the retries of a service's requests. All dispatchers
+// together stay within the limit, because each counts only its own requests
+// and a fixed share of Extra.
 type RetryBudget struct {
-	// Ratio is the number of second sends for each request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Extra is added to them in each window.
+	// Extra is the number of retries allowed per window in addition.
 	Extra float64
-	// Window is the time over which both count.
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration
 }
 
 const (
-	// retryBuckets divide a window.
+	// retryBuckets is the number of buckets in a window.
 	retryBuckets = 10
-	// retryUse is the part of the budget that is used: requests that are counted
-	// here may be counted a bucket later at the endpoint.
-	retryUse = 0.8
+	// retryBudgetUse is the part of the budget that is used. A request that
+	// is counted here may be counted one bucket later at the endpoint.
+	retryBudgetUse = 0.8
 )
 
-// retries counts the requests and second sends of one service in the buckets of
-// the last window.
+// retries counts the requests and retries of one service over the last
+// window, in a ring of buckets.
 type retries struct {
-	began    time.Time
-	requests [retryBuckets]int
-	sends    [retryBuckets]int
-	current  int
+	bucketStart time.Time
+	requests    [retryBuckets]int
+	sends       [retryBuckets]int
+	current     int
 }
 
-// turn moves on to the bucket of a moment.
-func (r *retries) turn(now time.Time, b RetryBudget) {
+// advance moves to the bucket of the current time and clears the buckets that
+// have left the window.
+func (r *retries) advance(now time.Time, b RetryBudget) {
 	step := b.Window / retryBuckets
-	if r.began.IsZero() || step <= 0 {
-		r.began = now
+	if r.bucketStart.IsZero() || step <= 0 {
+		r.bucketStart = now
 		return
 	}
 	for range retryBuckets {
-		if now.Sub(r.began) < step {
+		if now.Sub(r.bucketStart) < step {
 			return
 		}
-		r.began = r.began.Add(step)
+		r.bucketStart = r.bucketStart.Add(step)
 		r.current = (r.current + 1) % retryBuckets
 		r.requests[r.current], r.sends[r.current] = 0, 0
 	}
-	r.began = now // nothing was asked for a whole window
+	r.bucketStart = now // no request for a whole window
 }
 
-// request counts a request.
-func (r *retries) request(now time.Time, b RetryBudget) {
-	r.turn(now, b)
+// countRequest counts a request that is no retry.
+func (r *retries) countRequest(now time.Time, b RetryBudget) {
+	r.advance(now, b)
 	r.requests[r.current]++
 }
 
-// take counts a second send if the budget allows it.
+// take counts a retry and returns true if the budget allows it.
 func (r *retries) take(now time.Time, b RetryBudget) bool {
-	r.turn(now, b)
+	r.advance(now, b)
 	requests, sends := 0, 0
 	for i := range retryBuckets {
 		requests += r.requests[i]
 		sends += r.sends[i]
 	}
-	if float64(sends+1) > retryUse*(b.Ratio*float64(requests)+b.Extra) {
+	if float64(sends+1) > retryBudgetUse*(b.Ratio*float64(requests)+b.Extra) {
 		return false
 	}
 	r.sends[r.current]++
--- a/internal/core/dispatch/retry_test.go
+++ b/internal/core/dispatch/retry_test.go
@@ -11,9 +11,9 @@
 	"sassafrasreach/internal/core/registry"
 )
 
-// TestRetryBudget answers the load of endpoints that refuse most requests while
-// they seem healthy: second sends in any window stay within the ratio of its
-// requests and the extra.
+// TestRetryBudget guards against a retry storm when endpoints refuse most
+// requests while they seem healthy: in any window, retries stay within the
+// ratio of its requests plus the extra.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	budget := dispatch.RetryBudget{Ratio: 0.2, Extra: 30, Window: 10 * time.Second}
--- a/internal/core/dispatch/shift.go
+++ b/internal/core/dispatch/shift.go
@@ -6,50 +6,56 @@
 )
 
 const (
-	// shiftDrift is the part of the bound by which a level may move in a second:
-	// two windows that follow each other are two seconds each.
+	// shiftDrift is the part of the limit by which a level may move per
+	// second. Consecutive windows are two seconds long each.
 	shiftDrift = 0.32
-	// shiftSlack is the part of the bound by which the runs may lie beside their
-	// level.
+	// shiftSlack is the part of the limit by which the share of the runs may
+	// exceed its level.
 	shiftSlack = 0.2
-	// shiftFollow is the weight of one run in the recent shares.
-	shiftFollow = 0.02
-	// shiftBurst bounds the runs that a region may catch up on, and those beyond its
-	// level that it makes up for.
+	// shiftSmoothing is the weight of one run in the recent shares.
+	shiftSmoothing = 0.02
+	// shiftBurst bounds a region's credit in both directions: the runs that
+	// it may catch up on, and the runs above its level that are deducted from
+	// later ones.
 	shiftBurst = 3.0
-	// shiftLearn is how long a meter only learns, at first and after silence.
-	shiftLearn = time.Second
+	// shiftLearnTime is how long a meter sets no limit, initially and after
+	// an equally long time without runs.
+	shiftLearnTime = time.Second
 )
 
-// ShiftMeter answers the load of clients that move and of bursts: room in other
-// regions comes and goes with them, but the share of a region's requests that
-// runs in each may change only by a bound from one window to the next. Each
-// region has a level that follows the runs slowly; runs are spread evenly around
-// it. It is not safe for concurrent use.
+// ShiftMeter limits how fast the share of a region's requests that runs in
+// each region may change from one window to the next. The free capacity of
+// other regions comes and goes with bursts and with clients that move. Each
+// region has a level that slowly follows its share of the runs, and a credit,
+// as of a token bucket, that keeps the runs close to the level. It is not
+// safe for concurrent use.
 type ShiftMeter struct {
-	most    float64
-	levels  map[string]*shiftLevel
-	last    time.Time
-	learned time.Time
+	maxShift  float64
+	levels    map[string]*shiftLevel
+	lastCount time.Time
+	// learnUntil is the time until which the meter only learns.
+	learnUntil time.Time
 }
 
-// shiftLevel is one region's part.
+// shiftLevel is the state of one region. share is the level, and recent the
+// moving average of the region's share of the runs.
 type shiftLevel struct {
 	share  float64
 	recent float64
-	// room is the number of runs until the level's upper edge.
-	room float64
+	// credit is the number of runs that the region may get before it exceeds
+	// its level by more than the slack.
+	credit float64
 }
 
-// NewShiftMeter returns a meter that allows a share of the requests to change
-// their region from one window to the next; 0 sets no bound.
-func NewShiftMeter(most float64) *ShiftMeter {
-	return &ShiftMeter{most: most, levels: make(map[string]*shiftLevel)}
+// NewShiftMeter returns a meter that lets the share maxShift of the requests
+// change its region from one window to the next; 0 sets no limit.
+func NewShiftMeter(maxShift float64) *ShiftMeter {
+	return &ShiftMeter{maxShift: maxShift, levels: make(map[string]*shiftLevel)}
 }
 
-// learning says whether the meter doesn't bound anything yet.
+// learning reports whether the meter sets no limit at this time.
 func (m *ShiftMeter) learning(now time.Time) bool {
-	return m.most <= 0 || m.learned.IsZero() || now.Before(m.learned) || now.Sub(m.last) > shiftLearn
+	return m.maxShift <= 0 || m.learnUntil.IsZero() || now.Before(m.learnUntil) || now.Sub(m.lastCount) > shiftLearnTime
 }
 
 func (m *ShiftMeter) level(region string) *shiftLevel {
@@ -61,32 +67,33 @@
 	return l
 }
 
-// Count notes that a request is to run in a region. While the bound doesn't hold,
-// free, the levels follow at once.
-func (m *ShiftMeter) Count(now time.Time, region string, free bool) {
-	if m.learned.IsZero() || now.Sub(m.last) > shiftLearn {
-		m.learned = now.Add(shiftLearn)
+// Count records that a request runs in a region. While the limit is suspended
+// (unlimited) or the meter learns, the levels follow the recent shares at
+// once.
+func (m *ShiftMeter) Count(now time.Time, region string, unlimited bool) {
+	if m.learnUntil.IsZero() || now.Sub(m.lastCount) > shiftLearnTime {
+		m.learnUntil = now.Add(shiftLearnTime)
 	}
-	free = free || m.learning(now)
-	step := shiftDrift * m.most * now.Sub(m.last).Seconds()
-	m.last = now
+	unlimited = unlimited || m.learning(now)
+	step := shiftDrift * m.maxShift * now.Sub(m.lastCount).Seconds()
+	m.lastCount = now
 	m.level(region)
 	for name, l := range m.levels {
 		ran := 0.0
 		if name == region {
 			ran = 1
 		}
-		l.recent += shiftFollow * (ran - l.recent)
-		if free {
-			l.share, l.room = l.recent, 1
+		l.recent += shiftSmoothing * (ran - l.recent)
+		if unlimited {
+			l.share, l.credit = l.recent, 1
 			continue
 		}
 		l.share += math.Max(-step, math.Min(step, l.recent-l.share))
-		l.room = math.Max(-shiftBurst, math.Min(l.room+l.share+shiftSlack*m.most-ran, shiftBurst))
+		l.credit = math.Max(-shiftBurst, math.Min(l.credit+l.share+shiftSlack*m.maxShift-ran, shiftBurst))
 	}
 }
 
-// Allows says whether one more request may run in a region.
+// Allows reports whether one more request may run in a region.
 func (m *ShiftMeter) Allows(now time.Time, region string) bool {
-	return m.learning(now) || m.level(region).room >= 1
+	return m.learning(now) || m.level(region).credit >= 1
 }
--- a/internal/core/dispatch/shift_test.go
+++ b/internal/core/dispatch/shift_test.go
@@ -11,21 +11,22 @@
 	"sassafrasreach/internal/core/dispatch"
 )
 
-// TestShift answers the load of clients that move in and out of a region: room
-// at home comes and goes within a second. What runs elsewhere changes by no more
-// than the bound between any two windows that follow each other, and by more
-// without the meter.
-func TestShift(t *testing.T) {
+// TestShiftLimit guards against large shifts of load between regions when
+// clients move in and out of a region and its free capacity comes and goes
+// within a second. The shift between any two consecutive windows stays within
+// the limit, and exceeds twice the limit without the meter.
+func TestShiftLimit(t *testing.T) {
 	const most = 0.15
 	is := is.New(t)
 	is.True(worstShift(dispatch.NewShiftMeter(most)) <= most)
 	is.True(worstShift(dispatch.NewShiftMeter(0)) > 2*most)
 }
 
-// worstShift plays 60 s in which home has room for all, half or none of its
-// requests by turns, and returns the largest change of a region's share.
+// worstShift runs 60 s in which the region home has capacity for all, half or
+// none of its requests in turn, and returns the largest change of a region's
+// share.
 func worstShift(m *dispatch.ShiftMeter) float64 {
-	draw := rand.New(rand.NewPCG(3, 4))
+	random := rand.New(rand.NewPCG(3, 4))
 	now := time.Unix(1_800_000_000, 0)
 	start := now
 	type run struct {
@@ -34,9 +35,9 @@
 	}
 	var runs []run
 	for now.Sub(start) < time.Minute {
-		now = now.Add(time.Duration(5+draw.IntN(10)) * time.Millisecond)
+		now = now.Add(time.Duration(5+random.IntN(10)) * time.Millisecond)
 		wanted := "home"
-		if draw.IntN(2) < int(now.Sub(start).Seconds()/3.1)%3 {
+		if random.IntN(2) < int(now.Sub(start).Seconds()/3.1)%3 {
 			wanted = "away"
 		}
 		if !m.Allows(now, wanted) {
--- a/internal/core/dispatch/types.go
+++ b/internal/core/dispatch/types.go
@@ -6,171 +6,188 @@
 	"sassafrasreach/internal/core/registry"
 )
 
-// Ask is a request for a slot.
+// Ask is a gateway's request for a slot.
 type Ask struct {
 	// ID is unique among the asks of all gateways.
 	ID string
-	// Gateway names the incarnation of the gateway that asks.
+	// Gateway names the incarnation of the gateway that sent the ask.
 	Gateway string
 	Service string
-	// Priority is the rank, 0 the highest.
+	// Priority is the rank of the request; 0 is the most urgent.
 	Priority int
-	// Kind names requests that take about the same time.
+	// Kind groups requests that take about the same time.
 	Kind string
-	// Affinity names the object that the request concerns; empty if none. Objects
-	// of different kinds are different.
+	// Affinity names the object that the request concerns; empty if none. The
+	// same name under another Kind is another object.
 	Affinity string
-	// Hint names the endpoint that last served the object for the gateway, for a
-	// dispatcher that doesn't know yet what is warm; empty if none.
+	// Hint names the endpoint that last served the object for the gateway;
+	// empty if none. A new dispatcher uses it while it has no record of the
+	// object.
 	Hint string
 	// Zone is the failure domain of the gateway.
 	Zone string
 	// Target is the time within which the answer earns full credit.
 	Target time.Duration
-	// Deadline is when the answer is of no use any more.
+	// Deadline is the time after which the answer is useless.
 	Deadline time.Time
-	// Again says that the request was sent to an endpoint before; Exclude lists those
-	// that aren't to get it again.
+	// Again marks a further attempt of a request; Exclude lists the endpoints
+	// that must not get it.
 	Again   bool
 	Exclude []string
 	// Homes are the regions in which the request may run; empty means all.
 	Homes []string
 }
 
-// Reason says why a slot was refused.
+// Reason is the cause of a refusal.
 type Reason string
 
 const (
 	// ReasonNoEndpoint means that no endpoint of the service is usable.
 	ReasonNoEndpoint Reason = "no-endpoint"
-	// ReasonOverload means that no slot came free in the time that the request
-	// may wait.
+	// ReasonOverload means that the request can't get a slot within the time
+	// that it may wait.
 	ReasonOverload Reason = "overload"
-	// ReasonRetryBudget means that too many requests were sent a second time.
+	// ReasonRetryBudget means that the retry budget is used up.
 	ReasonRetryBudget Reason = "retry-budget"
 )
 
-// Decision ends an ask.
+// Decision is the result of an ask: a grant or a refusal.
 type Decision struct {
 	Ask Ask
-	// Grant is set when a slot is given, of an endpoint in a region.
+	// Grant identifies the granted slot; it is empty in a refusal. Endpoint
+	// is the slot's endpoint and Region the endpoint's region.
 	Grant    string
 	Endpoint registry.Endpoint
 	Region   string
-	// Reason and RetryAfter are set when none is.
+	// Reason and RetryAfter are set in a refusal. RetryAfter is the time
+	// after which the client may try again.
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Outcome says how the use of a slot ended.
+// Outcome is how a granted slot was used.
 type Outcome string
 
 const (
-	// Served means that the endpoint answered with success.
+	// Served means that the endpoint answered successfully.
 	Served Outcome = "served"
-	// Failed means that the endpoint's answer was a failure or unusable.
+	// Failed means that the endpoint answered with an error, unusably or not
+	// in time.
 	Failed Outcome = "failed"
-	// Refused means that the endpoint said that it didn't run the request.
+	// Refused means that the endpoint reported that it didn't run the
+	// request.
 	Refused Outcome = "refused"
-	// Broken means that the endpoint broke off.
+	// Broken means that the connection broke during the request.
 	Broken Outcome = "broken"
 	// Unreachable means that no connection to the endpoint could be opened.
 	Unreachable Outcome = "unreachable"
-	// Unsent means that nothing was sent, or the client left.
+	// Unsent means that nothing was sent, or that the client canceled the
+	// request.
 	Unsent Outcome = "unsent"
 )
 
-// Setup are the figures of a pool.
+// Setup holds the parameters of a pool.
 type Setup struct {
-	// ColdRate returns the rate of requests that a cold endpoint of a service
-	// bears.
+	// ColdRate returns the requests per second that a cold endpoint of a
+	// service may get.
 	ColdRate func(service string) float64
-	// Retries bounds second sends; the zero value allows none.
+	// Retries limits retries; the zero value allows none.
 	Retries RetryBudget
-	// Draw returns a number in [0, 1) that spreads what would else coincide.
+	// Draw returns a random number in [0, 1). It spreads the return of
+	// refused clients.
 	Draw func() float64
-	// Region is the pool's own; RegionOf gives the region of a failure domain, and
-	// Way the time that a message and its answer take to another region.
+	// Region is the pool's own region. RegionOf returns the region of a
+	// failure domain, and Way the round-trip time to another region.
 	Region   string
 	RegionOf func(zone string) string
 	Way      func(region string) time.Duration
-	// MaxShift is the share of the requests that may change the region in which
-	// they run from one window to the next; 0 sets no bound.
+	// MaxShift limits the share of the requests whose region may change from
+	// one window to the next; 0 sets no limit.
 	MaxShift float64
 }
 
 const (
-	// waitShare is the part of the target that any request may wait for a slot,
-	// also one that will be late.
-	waitShare = 0.2
-	// graceAfterDeadline is how long after its deadline a grant that wasn't given
-	// back ends by itself: the release of a timed-out request is on its way.
+	// minWaitShare is the share of its target that any request may wait for a
+	// slot, even one that will miss the target.
+	minWaitShare = 0.2
+	// graceAfterDeadline is the time from a grant's deadline to its expiry.
+	// The release of a request that timed out may still be in transit.
 	graceAfterDeadline = time.Second
-	// unreachablePause is how long an endpoint that couldn't be reached is passed
-	// over; each further time doubles it up to unreachablePauseMax, the time in which
-	// an endpoint that lives has been heard of again.
+	// unreachablePause is how long an unreachable endpoint gets no requests.
+	// It doubles with each consecutive failure up to unreachablePauseMax,
+	// within which a live endpoint has announced itself again.
 	unreachablePause    = 300 * time.Millisecond
 	unreachablePauseMax = 2400 * time.Millisecond
-	// lostAfterMisses is the number of times in a row that an endpoint can't be
-	// reached after which it counts as lost.
-	lostAfterMisses = 3
-	// fullPause is how long an endpoint that refused a request is passed over.
+	// maxConnectFailures is the number of consecutive failures to connect
+	// after which an endpoint no longer counts as capacity.
+	maxConnectFailures = 3
+	// fullPause is how long an endpoint gets no requests after it refused one
+	// while all its slots were in use.
 	fullPause = 40 * time.Millisecond
 	// smoothing is the weight of the newest sample in a moving average.
 	smoothing = 0.1
-	// failureWeight is how many times its usual time a failure counts for when
-	// endpoints are compared.
+	// failureWeight is the cost of a failure in the comparison of endpoints,
+	// as a multiple of the expected run time.
 	failureWeight = 6.0
-	// loadWeight is how much a full endpoint is put behind an empty one.
+	// loadWeight is the relative increase of an endpoint's expected run time
+	// when all its slots are in use.
 	loadWeight = 0.25
-	// warmFactor is the expected part of the time that a warm object takes,
-	// before it has been seen.
+	// warmFactor is the assumed ratio of warm to cold run times until a warm
+	// run was seen.
 	warmFactor = 0.6
-	// crowdWeight is how much an endpoint that keeps many objects warm is put
-	// behind one that keeps none, when an object is new to both.
-	crowdWeight = 0.5
-	// evenWeight is how much an endpoint that keeps as many objects as the others is
-	// put behind one that keeps none: each brings its requests, and few slots fill up
-	// while others stay idle.
-	evenWeight = 0.25
-	// mostCopies bounds the endpoints that keep the same object warm on purpose:
-	// each copy pushes another object out, and its first run takes several times
-	// as long.
-	mostCopies = 2
-	// spareShare is the share of free slots above which a cold run displaces
-	// nothing.
-	spareShare = 0.25
-	// placeSlack is how much more than the least an endpoint may cost and still be
-	// chosen for a new object by its hash.
-	placeSlack = 1.15
-	// mostCompared bounds the endpoints that are compared for one ask, and mostLooks
-	// the waiting asks of a service that are looked at anew in a tick: with more, a
-	// large region's dispatcher takes a whole core under overload.
-	mostCompared = 48
-	mostLooks    = 64
-	// untriedAfter is how long a service has been served before an endpoint that
-	// has served nothing yet goes first.
-	untriedAfter = 2 * time.Second
-	// soundFailures is the share of failures below which an endpoint that keeps an
-	// object warm and has a free slot isn't compared with others.
-	soundFailures = 0.1
-	// unsettledFor is how long after a loss of endpoints, controllers or connections
-	// objects may change regions freely: the time in which the load of what was lost
-	// finds its place.
-	unsettledFor = 4 * time.Second
-	// breaksApart is the time within which two broken connections are taken for a
-	// fault; a single one may be an endpoint's own idle timeout.
-	breaksApart = time.Second
-	// speedSmoothing is the weight of the newest answer in an endpoint's speed, and
-	// speedMost bounds what one answer can say of it.
-	speedSmoothing = 0.1
-	speedMost      = 8.0
-	// coldHoldBack is how long a new pool sends nothing to cold endpoints: as long
-	// as the second over which their rate counts.
+	// occupancyWeight is the relative increase of the expected run time of an
+	// object that is new at an endpoint when the endpoint keeps as many
+	// objects warm as fit.
+	occupancyWeight = 0.5
+	// balanceWeight is the relative increase of the expected run time of an
+	// object that is new at an endpoint when the endpoint keeps about the
+	// average number of objects warm. Each object brings its requests:
+	// without this, the few slots of some endpoints would be full while
+	// others were idle.
+	balanceWeight = 0.25
+	// maxCopies is the number of endpoints that keep an object warm from
+	// which on it is not placed at another. Each copy evicts another object,
+	// whose next run takes several times as long.
+	maxCopies = 2
+	// spareSlotShare is the share of free slots above which a cold run delays
+	// no other request.
+	spareSlotShare = 0.25
+	// placementSlack is the cost, as a multiple of the least, up to which
+	// endpoints are candidates for a new object. The object's hash decides
+	// among them.
+	placementSlack = 1.15
+	// maxCompared bounds the endpoints that are compared for one ask, and
+	// maxReconsidered the queued asks of a service that are due for
+	// reconsideration in one tick. Without these bounds the dispatcher of a
+	// large region uses a whole core under overload.
+	maxCompared     = 48
+	maxReconsidered = 64
+	// preferUnusedAfter is how long a service must have been served before an
+	// endpoint that was granted nothing yet is preferred.
+	preferUnusedAfter = 2 * time.Second
+	// healthyFailureShare is the share of failures below which an endpoint
+	// that keeps an object warm and has a free slot is chosen without
+	// comparison.
+	healthyFailureShare = 0.1
+	// shiftSuspension is how long objects may move between regions without
+	// limit after endpoints, controllers or connections were lost: the time
+	// in which the load of what was lost is redistributed.
+	shiftSuspension = 4 * time.Second
+	// maxBreakInterval is the time within which two broken or failed
+	// connections count as a fault. A single one may be due to an endpoint's
+	// idle timeout.
+	maxBreakInterval = time.Second
+	// slownessSmoothing is the weight of the newest answer in an endpoint's
+	// slowness, and maxSlownessSample bounds the sample of one answer.
+	slownessSmoothing = 0.1
+	maxSlownessSample = 8.0
+	// coldHoldBack is how long a pool sends nothing to cold endpoints after
+	// it has become the only one that grants them. It covers the second over
+	// which their rate is counted.
 	coldHoldBack = 1200 * time.Millisecond
-	// retryThird bounds the time until a refused client returns: clients honour
-	// up to a third of what they have left.
-	retryThird = 3
-	// retryFloor is the shortest time after which a refused client returns.
-	retryFloor = 50 * time.Millisecond
+	// retryAfterDivisor bounds Decision.RetryAfter to a part of the time left
+	// before the deadline: clients honor up to a third of it.
+	retryAfterDivisor = 3
+	// minRetryAfter is the shortest Decision.RetryAfter.
+	minRetryAfter = 50 * time.Millisecond
 )
--- a/internal/core/dispatch/use.go
+++ b/internal/core/dispatch/use.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Use is how much of a service's slots is in use.
+// Use describes the use of one service's slots.
 type Use struct {
-	// Slots are those that this pool grants now; Busy, those in use; Waiting, the
-	// asks that wait.
+	// Slots counts the slots of the endpoints that this pool uses now, Busy
+	// the slots in use, and Waiting the queued asks.
 	Slots, Busy, Waiting int
 	// Lent and Borrowed count endpoints.
 	Lent, Borrowed int
-	// KeptObjects is the number of objects that an endpoint is taken to keep warm.
+	// KeptObjects is the estimated number of objects that an endpoint keeps
+	// warm.
 	KeptObjects int
 }
 
-// Use returns the use of the pool by service.
+// Use returns the pool's use, by service name.
 func (p *Pool) Use(now time.Time) map[string]Use {
 	out := make(map[string]Use, len(p.services))
 	for name, svc := range p.services {
--- a/internal/core/dispatch/warm.go
+++ b/internal/core/dispatch/warm.go
@@ -1,26 +1,28 @@
 package dispatch
 
-// mostTracked bounds the objects of an endpoint that are remembered; what it
-// keeps beyond is found out by no request.
-const mostTracked = 128
+// maxTracked bounds the objects that are remembered per endpoint. If an
+// endpoint keeps more objects warm, the pool doesn't learn of it.
+const maxTracked = 128
 
-// memory holds the objects that an endpoint served last.
+// memory holds the objects that an endpoint served last. lastUse maps an
+// object to the value of count at its last use.
 type memory struct {
-	count uint64
-	used  map[string]uint64
+	count   uint64
+	lastUse map[string]uint64
 }
 
-func newMemory() memory { return memory{used: make(map[string]uint64)} }
+func newMemory() memory { return memory{lastUse: make(map[string]uint64)} }
 
-// depth is the number of other objects that were served since an object; false
-// if it is not remembered.
+// depth returns the number of other objects that were served since the object
+// was last served (its stack distance); false if the object is not
+// remembered.
 func (m *memory) depth(object string) (int, bool) {
-	at, known := m.used[object]
+	at, known := m.lastUse[object]
 	if !known {
 		return 0, false
 	}
 	n := 0
-	for _, other := range m.used {
+	for _, other := range m.lastUse {
 		if other > at {
 			n++
 		}
@@ -28,43 +30,43 @@
 	return n, true
 }
 
-// touch notes that an object is served, and returns the one that is forgotten
-// for it; empty if none.
-func (m *memory) touch(object string) (forgotten string) {
+// touch records a use of an object and returns the object that is evicted for
+// it; empty if none.
+func (m *memory) touch(object string) (evicted string) {
 	m.count++
-	m.used[object] = m.count
-	if len(m.used) <= mostTracked {
+	m.lastUse[object] = m.count
+	if len(m.lastUse) <= maxTracked {
 		return ""
 	}
 	oldest := m.count
-	for other, at := range m.used {
+	for other, at := range m.lastUse {
 		if at <= oldest {
-			forgotten, oldest = other, at
+			evicted, oldest = other, at
 		}
 	}
-	delete(m.used, forgotten)
-	return forgotten
+	delete(m.lastUse, evicted)
+	return evicted
 }
 
 const (
-	// assumedKept is the number of objects that an endpoint is taken to keep before
-	// its service's runs have shown it.
+	// assumedKept is the number of objects that an endpoint is assumed to
+	// keep warm until runs of its service show the number.
 	assumedKept = 32
-	// assumedWeight is what the assumption counts for beside one run.
+	// assumedWeight is the weight of the assumption relative to one run.
 	assumedWeight = 0.5
-	// keptDecay is what each run leaves of the weight of earlier ones: a few
-	// thousand count.
+	// keptDecay is the factor by which each run reduces the weight of earlier
+	// ones; a few thousand runs count.
 	keptDecay = 0.9995
 )
 
-// keptMeter finds out how many objects the endpoints of a service keep warm. It
-// answers the load of more objects than fit: an object counts as warm only
-// while fewer others than that were served since. The limit is where it splits
-// warm runs from cold ones best.
+// keptMeter estimates how many objects the endpoints of a service keep warm,
+// since there may be more objects than fit. An object counts as warm while
+// fewer than limit other objects were served since its last use. The limit is
+// the depth that best separates warm runs from cold ones.
 type keptMeter struct {
-	// balance holds, by the number of objects served since, warm runs less cold
-	// ones.
-	balance [mostTracked]float64
+	// balance holds, by depth, the weighted number of warm runs minus that of
+	// cold ones.
+	balance [maxTracked]float64
 	limit   int
 }
 
@@ -79,9 +81,9 @@
 	return m
 }
 
-// observe takes a run of an object after which a number of others was served.
+// observe records a run of an object at a depth and updates the limit.
 func (m *keptMeter) observe(depth int, warm bool) {
-	if depth >= mostTracked {
+	if depth >= maxTracked {
 		return
 	}
 	sum, best := 0.0, 0.0
@@ -99,15 +101,17 @@
 	}
 }
 
-// kind is what requests of one kind have shown.
+// kind holds the statistics of one kind of requests.
 type kind struct {
-	// cold and warm are moving averages of their times in seconds at an endpoint of
-	// ordinary speed in the own region, without and with their object warm; zero
-	// before the first.
+	// cold and warm are moving averages of the run times in seconds, without
+	// and with the object warm, at an endpoint of average speed. cold starts
+	// as the target of the kind's first ask; warm is zero before the first
+	// warm run.
 	cold, warm float64
 }
 
-// expected is the time of a request at an endpoint of ordinary speed.
+// expected returns the expected run time in seconds at an endpoint of average
+// speed.
 func (k *kind) expected(warm bool) float64 {
 	switch {
 	case warm && k.warm > 0:
@@ -119,20 +123,21 @@
 	}
 }
 
-// separable is the part of a cold run's time below which warm runs can be told
-// from cold ones.
-const separable = 0.7
+// maxSeparableRatio is the ratio of warm to cold run times up to which warm
+// runs can be told from cold ones.
+const maxSeparableRatio = 0.7
 
-// ranWarm says whether a run's time is nearer to a warm one; known is false while
-// the two can't be told apart.
+// ranWarm reports whether a run time is closer to that of a warm run. known
+// is false while warm and cold runs can't be told apart.
 func (k *kind) ranWarm(took float64) (warm, known bool) {
-	if k.warm == 0 || k.warm > separable*k.cold {
+	if k.warm == 0 || k.warm > maxSeparableRatio*k.cold {
 		return false, false
 	}
 	return took < (k.cold+k.warm)/2, true
 }
 
-// observe takes the time of a served request that was expected to be warm or not.
+// observe records the run time of a served request. warm is the expectation,
+// which counts only while the run time doesn't show the difference.
 func (k *kind) observe(warm bool, took float64) {
 	if ran, known := k.ranWarm(took); known {
 		warm = ran
--- a/internal/core/dispatch/warm_test.go
+++ b/internal/core/dispatch/warm_test.go
@@ -13,39 +13,41 @@
 	"sassafrasreach/internal/core/registry"
 )
 
-// scene is a load on a pool of endpoints that keep a number of objects warm.
-type scene struct {
-	endpoints, slots, keeps, objects int
-	perSecond                        float64
-	cold, warm, target               time.Duration
-	lasts                            time.Duration
-	// burst is how many times as many requests come for 3 s in the middle; 0 for none.
+// workload is a load on a pool of endpoints that keep a number of objects
+// warm.
+type workload struct {
+	endpoints, slots, capacity, objects int
+	perSecond                           float64
+	cold, warm, target                  time.Duration
+	duration                            time.Duration
+	// burst multiplies the request rate for 3 s in the middle; 0 for no
+	// burst.
 	burst float64
 }
 
-// happening is the end of a run, at a moment.
-type happening struct {
-	at    time.Time
-	grant string
-	took  time.Duration
+// completion is the end of a run.
+type completion struct {
+	at      time.Time
+	grant   string
+	runTime time.Duration
 }
 
-type agenda []happening
+type completionHeap []completion
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a completionHeap) Len() int           { return len(a) }
+func (a completionHeap) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a completionHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *completionHeap) Push(x any)        { *a = append(*a, x.(completion)) }
+func (a *completionHeap) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// memory is an endpoint that keeps the objects it served last.
+// memory simulates an endpoint's cache of the objects that it served last.
 type memory struct {
-	kept  []string
-	keeps int
+	kept     []string
+	capacity int
 }
 
 func (m *memory) serve(object string) (warm bool) {
@@ -56,24 +58,24 @@
 		}
 	}
 	m.kept = append(m.kept, object)
-	if len(m.kept) > m.keeps {
+	if len(m.kept) > m.capacity {
 		m.kept = m.kept[1:]
 	}
 	return false
 }
 
-// played counts what became of the requests of a scene.
-type played struct{ asked, inTarget, late, refused int }
+// results counts the requests of a workload by their result.
+type results struct{ asked, inTarget, late, refused int }
 
-// policy decides who gets a slot; a pool is one.
+// policy grants or refuses slots; a Pool is one.
 type policy interface {
 	Acquire(now time.Time, a dispatch.Ask) (dispatch.Decision, bool)
 	Release(now time.Time, id string, outcome dispatch.Outcome, took time.Duration) []dispatch.Decision
 	Tick(now time.Time) []dispatch.Decision
 }
 
-// play runs a scene on a pool; without affinity it isn't told the objects.
-func (s scene) play(affinity bool) played {
+// run applies the workload to a pool. Without affinity, asks name no object.
+func (s workload) run(affinity bool) results {
 	now := time.Unix(1_800_000_000, 0)
 	pool := dispatch.NewPool("t/", dispatch.Setup{
 		ColdRate: func(string) float64 { return 0 }, RegionOf: func(string) string { return "" },
@@ -82,31 +84,32 @@
 	for i := range s.endpoints {
 		pool.Learn(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: s.slots, Born: 1, Heard: now})
 	}
-	return s.playOn(now, pool, affinity)
+	return s.runOn(now, pool, affinity)
 }
 
-// playOn runs a scene on a policy from a time on; all see the same requests.
-func (s scene) playOn(now time.Time, pool policy, affinity bool) played {
-	draw := rand.New(rand.NewPCG(1, 2))
-	began, end := now, now.Add(s.lasts)
+// runOn applies the workload to a policy, starting at the time now. Each
+// policy gets the same sequence of random numbers.
+func (s workload) runOn(now time.Time, pool policy, affinity bool) results {
+	random := rand.New(rand.NewPCG(1, 2))
+	began, end := now, now.Add(s.duration)
 	memories := make(map[string]*memory)
 	for i := range s.endpoints {
-		memories[fmt.Sprintf("e%d", i)] = &memory{keeps: s.keeps}
+		memories[fmt.Sprintf("e%d", i)] = &memory{capacity: s.capacity}
 	}
-	var out played
-	var runs agenda
+	var out results
+	var runs completionHeap
 	objects, asked := make(map[string]string), make(map[string]time.Time)
 	start := func(d dispatch.Decision) {
 		if d.Grant == "" {
 			out.refused++
 			return
 		}
-		took := s.cold
+		runTime := s.cold
 		if memories[d.Endpoint.ID].serve(objects[d.Ask.ID]) {
-			took = s.warm
+			runTime = s.warm
 		}
-		heap.Push(&runs, happening{now.Add(took), d.Grant, took})
-		if now.Add(took).Sub(asked[d.Ask.ID]) <= s.target {
+		heap.Push(&runs, completion{now.Add(runTime), d.Grant, runTime})
+		if now.Add(runTime).Sub(asked[d.Ask.ID]) <= s.target {
 			out.inTarget++
 		} else {
 			out.late++
@@ -119,9 +122,9 @@
 			now = tick
 		}
 		for len(runs) > 0 && !runs[0].at.After(now) {
-			h := heap.Pop(&runs).(happening)
+			h := heap.Pop(&runs).(completion)
 			now = h.at
-			for _, d := range pool.Release(h.at, h.grant, dispatch.Served, h.took) {
+			for _, d := range pool.Release(h.at, h.grant, dispatch.Served, h.runTime) {
 				start(d)
 			}
 		}
@@ -135,7 +138,7 @@
 			continue
 		}
 		out.asked++
-		id, object := fmt.Sprint(out.asked), fmt.Sprint(draw.IntN(s.objects))
+		id, object := fmt.Sprint(out.asked), fmt.Sprint(random.IntN(s.objects))
 		objects[id], asked[id] = object, now
 		ask := dispatch.Ask{ID: id, Service: "s", Kind: "k", Target: s.target, Deadline: now.Add(4 * time.Second)}
 		if affinity {
@@ -145,26 +148,26 @@
 			start(d)
 		}
 		perSecond := s.perSecond
-		if since := now.Sub(began); s.burst > 0 && since > s.lasts/2 && since < s.lasts/2+3*time.Second {
+		if since := now.Sub(began); s.burst > 0 && since > s.duration/2 && since < s.duration/2+3*time.Second {
 			perSecond *= s.burst
 		}
-		next = now.Add(time.Duration(draw.ExpFloat64() / perSecond * float64(time.Second)))
+		next = now.Add(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 	}
 	return out
 }
 
-// TestWarmObjects answers the load of objects that endpoints keep warm: offered
-// work is above capacity when every run is cold and well below it when warm.
-// More than four in five have to be in time, and fewer than half are when the
-// pool doesn't know the objects.
+// TestWarmObjects guards against runs away from warm objects: the offered
+// load exceeds capacity when every run is cold and is well below it when runs
+// are warm. More than four in five requests must be in time, but fewer than
+// half when the pool doesn't know the objects.
 func TestWarmObjects(t *testing.T) {
-	s := scene{
-		endpoints: 8, slots: 9, keeps: 40, objects: 100, perSecond: 110,
-		cold: 900 * time.Millisecond, warm: 270 * time.Millisecond, target: 600 * time.Millisecond, lasts: 40 * time.Second,
+	s := workload{
+		endpoints: 8, slots: 9, capacity: 40, objects: 100, perSecond: 110,
+		cold: 900 * time.Millisecond, warm: 270 * time.Millisecond, target: 600 * time.Millisecond, duration: 40 * time.Second,
 	}
 	is := is.New(t)
-	aware, blind := s.play(true), s.play(false)
-	t.Logf("with objects %+v, without %+v", aware, blind)
+	aware, unaware := s.run(true), s.run(false)
+	t.Logf("with objects %+v, without %+v", aware, unaware)
 	is.True(5*aware.inTarget > 4*aware.asked)
-	is.True(2*blind.inTarget < blind.asked)
+	is.True(2*unaware.inTarget < unaware.asked)
 }
