--- a/internal/core/admission/announcement.go
+++ b/internal/core/admission/announcement.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// State is what an endpoint says of itself.
+// State is the state that an endpoint announces.
 type State uint8
 
 const (
-	// Starting means that the endpoint takes no work yet.
+	// Starting means that the endpoint takes no requests yet.
 	Starting State = iota
-	// Ready means that the endpoint takes work.
+	// Ready means that the endpoint takes requests.
 	Ready
-	// Leaving means that the endpoint takes no new work and will end.
+	// Leaving means that the endpoint takes no new requests and will end.
 	Leaving
 )
 
-// Announcement is one report of an endpoint.
+// Announcement is one report of an endpoint on itself.
 type Announcement struct {
 	// ID identifies the endpoint.
 	ID string
@@ -28,22 +28,23 @@
 	Slots int
 	// Connections is the number of connections that it accepts.
 	Connections int
-	// State says whether it takes work.
+	// State says whether the endpoint takes requests.
 	State State
-	// Load is the load that it reports, from 0 to 1. It is a hint.
+	// Load is the load that the endpoint reports, from 0 to 1. It is a hint.
 	Load float64
 }
 
-// Announce takes in a report. A report of an earlier incarnation, or an older
-// one of the same incarnation, is ignored, except that Leaving holds for its
-// incarnation in whatever order it arrives.
+// Announce applies an announcement. Announcements of earlier incarnations,
+// and stale ones of the same incarnation, are ignored. Leaving is the
+// exception: it holds for the rest of its incarnation in whatever order the
+// announcements arrive.
 func (g *Group) Announce(now time.Time, a Announcement) {
 	e := g.byID[a.ID]
 	switch {
 	case e == nil:
 		g.add(now, a)
 	case a.Incarnation > e.incarnation:
-		g.drop(e)
+		g.takeOut(e)
 		g.add(now, a)
 	case a.Incarnation < e.incarnation:
 		return
@@ -54,46 +55,46 @@
 	}
 }
 
-// Lost takes an endpoint out of use because its process was seen to be gone. A
-// later announcement of the same incarnation brings it back, cold.
+// Lost retires an endpoint whose process was found to have ended. A later
+// announcement of the same incarnation puts it back into use, cold.
 func (g *Group) Lost(now time.Time, id string, incarnation uint64) {
 	e := g.byID[id]
 	if e != nil && e.incarnation == incarnation {
-		g.remove(now, e)
+		g.retire(now, e)
 	}
 }
 
 // add records a new endpoint or a new incarnation of one.
 func (g *Group) add(now time.Time, a Announcement) {
 	e := newEndpoint(a, g.cfg)
-	e.heard = now
-	if g.since.IsZero() {
-		g.since = now
+	e.lastAnnounced = now
+	if g.firstAnnounced.IsZero() {
+		g.firstAnnounced = now
 	}
-	if now.Sub(g.since) < g.cfg.SilentAfter {
-		e.warm = 1 // a new owner meets endpoints that have long been at work
+	if now.Sub(g.firstAnnounced) < g.cfg.UnresponsiveAfter {
+		e.warm = 1 // a new owner's first endpoints have long been running
 	}
 	g.byID[a.ID] = e
 	g.insert(e)
 	if e.leaving {
-		g.remove(now, e)
+		g.retire(now, e)
 	}
 }
 
-// leave makes an endpoint leave for the rest of its incarnation.
+// leave retires an endpoint for the rest of its incarnation.
 func (g *Group) leave(now time.Time, e *endpoint, sequence uint64) {
 	e.leaving = true
 	e.sequence = max(e.sequence, sequence)
-	g.remove(now, e)
+	g.retire(now, e)
 }
 
-// refresh takes in a newer report of the same incarnation.
+// refresh applies a newer announcement of the same incarnation.
 func (g *Group) refresh(now time.Time, e *endpoint, a Announcement) {
-	e.heard = now
+	e.lastAnnounced = now
 	e.update(a, g.cfg)
 	if e.gone && !e.leaving {
 		e.gone = false
-		e.chill(g.cfg)
+		e.restartSlowStart(g.cfg)
 		g.insert(e)
 	}
 }
--- a/internal/core/admission/choose.go
+++ b/internal/core/admission/choose.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// choose returns the endpoint that is to get the next request, or nil when no
-// endpoint has a free slot. Endpoints that fail are left out, unless that would
-// leave out over half of them: then what they have in common is at fault.
+// choose returns the endpoint that gets the next request, or nil if none has
+// a free slot. Ejected endpoints are skipped, unless more than half are
+// ejected: then the cause is something that they share, not the endpoints.
 func (g *Group) choose(now time.Time, exclude []string) *endpoint {
 	ignoreEjections := g.mostlyEjected(now)
-	peers := g.groupLatency()
+	peerLatency := g.groupLatency()
 	var best *endpoint
 	var bestCost float64
 	for _, e := range g.endpoints {
@@ -23,8 +23,8 @@
 		if slices.Contains(exclude, e.id) {
 			continue
 		}
-		cost := e.cost(now, peers)
-		if best == nil || cost < bestCost || cost == bestCost && e.lastUsed < best.lastUsed {
+		cost := e.cost(now, peerLatency)
+		if best == nil || cost < bestCost || cost == bestCost && e.lastGrant < best.lastGrant {
 			best = e
 			bestCost = cost
 		}
@@ -32,7 +32,8 @@
 	return best
 }
 
-// mostlyEjected says whether over half of the usable endpoints are ejected.
+// mostlyEjected reports whether more than half of the usable endpoints are
+// ejected.
 func (g *Group) mostlyEjected(now time.Time) bool {
 	usable, ejected := 0, 0
 	for _, e := range g.endpoints {
@@ -47,10 +48,10 @@
 	return 2*ejected > usable
 }
 
-// groupLatency is the median latency of the endpoints that have samples.
+// groupLatency is the median latency of the endpoints with enough samples.
 func (g *Group) groupLatency() float64 { return g.peerLatency(nil) }
 
-// anyUsable says whether some endpoint outside exclude takes work.
+// anyUsable reports whether an endpoint outside exclude is usable.
 func (g *Group) anyUsable(exclude []string) bool {
 	return slices.ContainsFunc(g.endpoints, func(e *endpoint) bool {
 		return e.usable() && !slices.Contains(exclude, e.id)
--- a/internal/core/admission/endpoint.go
+++ b/internal/core/admission/endpoint.go
@@ -8,70 +8,78 @@
 )
 
 const (
-	// latencyWeight is the weight of a new sample in an endpoint's latency.
+	// latencyWeight is the weight of a new sample in an endpoint's moving
+	// average of latency.
 	latencyWeight = 0.2
-	// successWeight is the weight of a new result in an endpoint's success rate.
+	// successWeight is the weight of a new result in an endpoint's success
+	// rate.
 	successWeight = 0.1
-	// minSamples is the number of results after which what requests show
-	// replaces what the endpoint reports.
+	// minSamples is the number of latency samples from which on measurements
+	// replace the load that the endpoint reports.
 	minSamples = 8
-	// unknownFirst multiplies the cost of an idle endpoint without samples.
-	unknownFirst = 1e-6
-	// slowFactor is how many times its peers' latency makes an endpoint slow.
+	// unsampledCostFactor multiplies the cost of an idle endpoint with too
+	// few samples, so that it is chosen first.
+	unsampledCostFactor = 1e-6
+	// slowFactor is the multiple of its peers' latency from which an endpoint
+	// counts as slow.
 	slowFactor = 1.5
-	// verySlowFactor is the multiple from which an endpoint loses slots.
+	// verySlowFactor is the multiple above which an endpoint loses slots.
 	verySlowFactor = 3
-	// shrink multiplies the learned slots of a very slow endpoint, per sample.
-	shrink = 0.95
+	// slowShrink multiplies the learned slots of a very slow endpoint, per
+	// sample.
+	slowShrink = 0.95
 	// shedShrink multiplies the learned slots after a shed.
 	shedShrink = 0.7
-	// growth is what the learned slots regain per success.
-	growth = 0.1
-	// retrySlowAfter is the time without a sample after which a slow endpoint
-	// is tried again as if it were not.
-	retrySlowAfter = 5 * time.Second
+	// slotGrowth is the number of learned slots regained per success.
+	slotGrowth = 0.1
+	// slownessTTL is the time without a sample after which a slow endpoint is
+	// tried again as if it were not slow.
+	slownessTTL = 5 * time.Second
 	// minSuccess keeps the cost of an endpoint that always fails finite.
 	minSuccess = 0.05
-	// failuresToEject is the number of failures in a row that ejects.
-	failuresToEject = 3
-	// ejectFirst and ejectMost bound the time of an ejection, which doubles.
-	ejectFirst = time.Second
-	ejectMost  = 30 * time.Second
-	// shedPause is the pause after the first of several sheds; it doubles.
-	shedPause     = 20 * time.Millisecond
-	shedPauseMost = time.Second
+	// maxConsecutiveFailures is the number of consecutive failures from which
+	// on an endpoint is ejected.
+	maxConsecutiveFailures = 3
+	// minEjection is the time of the first ejection. It doubles up to
+	// maxEjection until a request succeeds.
+	minEjection = time.Second
+	maxEjection = 30 * time.Second
+	// minShedPause is the pause after the first of consecutive sheds. It
+	// doubles up to maxShedPause until a request succeeds.
+	minShedPause = 20 * time.Millisecond
+	maxShedPause = time.Second
 )
 
-// endpoint is one incarnation of an endpoint.
+// endpoint is the state of one incarnation of an endpoint.
 type endpoint struct {
-	id          string
-	incarnation uint64
-	sequence    uint64
-	address     string
-	connections int
-	announced   int // slots, bounded by Config.MaxSlots
-	ready       bool
-	leaving     bool // for the rest of the incarnation
-	gone        bool // not in Group.endpoints
-	goneAt      time.Time
-	heard       time.Time
-	load        float64 // as reported
-
-	learned  float64 // slots that requests have shown to be bearable
-	warm     float64 // part of the slots that slow start permits, 0 to 1
-	inFlight int
-	lastUsed uint64 // Group.uses at the last grant
-
-	latency    float64 // moving average in nanoseconds; 0 without a sample
-	success    float64 // moving average, 0 to 1
+	id             string
+	incarnation    uint64
+	sequence       uint64
+	address        string
+	connections    int
+	announcedSlots int // bounded by Config.MaxSlots
+	ready          bool
+	leaving        bool // for the rest of the incarnation
+	gone           bool // not in Group.endpoints
+	goneAt         time.Time
+	lastAnnounced  time.Time
+	load           float64 // as reported
+
+	learnedSlots float64 // slots that the results of requests justify
+	warm         float64 // part of the slots that slow start allows, 0 to 1
+	inFlight     int
+	lastGrant    uint64 // Group.grantCount at the last grant
+
+	latency    float64 // moving average in nanoseconds; 0 without samples
+	success    float64 // moving average of the success rate, 0 to 1
 	samples    int
 	lastSample time.Time
 
-	failures   int // in a row
-	sheds      int // in a row
-	pausedTill time.Time
-	ejectTill  time.Time
-	ejections  int
+	failures     int // consecutive
+	sheds        int // consecutive
+	pausedUntil  time.Time
+	ejectedUntil time.Time
+	ejections    int
 }
 
 func newEndpoint(a Announcement, cfg Config) *endpoint {
@@ -83,11 +91,11 @@
 		warm:        cfg.SlowStartFloor,
 	}
 	e.update(a, cfg)
-	e.learned = float64(e.announced)
+	e.learnedSlots = float64(e.announcedSlots)
 	return e
 }
 
-// update takes in what a report says.
+// update applies an announcement.
 func (e *endpoint) update(a Announcement, cfg Config) {
 	e.sequence = a.Sequence
 	e.address = a.Address
@@ -101,73 +109,78 @@
 	if cfg.MaxSlots > 0 {
 		slots = min(slots, cfg.MaxSlots)
 	}
-	if slots > e.announced {
-		e.learned += float64(slots - e.announced)
+	if slots > e.announcedSlots {
+		e.learnedSlots += float64(slots - e.announcedSlots)
 	}
-	e.announced = slots
-	e.learned = min(e.learned, float64(slots))
+	e.announcedSlots = slots
+	e.learnedSlots = min(e.learnedSlots, float64(slots))
 }
 
-// chill makes the endpoint start slow again.
-func (e *endpoint) chill(cfg Config) {
+// restartSlowStart makes the endpoint cold again.
+func (e *endpoint) restartSlowStart(cfg Config) {
 	e.warm = cfg.SlowStartFloor
 	e.failures = 0
 	e.sheds = 0
-	e.ejectTill = time.Time{}
-	e.pausedTill = time.Time{}
+	e.ejectedUntil = time.Time{}
+	e.pausedUntil = time.Time{}
 }
 
-// usable says whether the endpoint may get work.
+// usable reports whether the endpoint may get requests.
 func (e *endpoint) usable() bool {
-	return e.ready && !e.leaving && !e.gone && e.announced > 0
+	return e.ready && !e.leaving && !e.gone && e.announcedSlots > 0
 }
 
-// slots is the number of requests that the endpoint may run now; at least one.
+// slots returns the number of requests that the endpoint may run now; at
+// least one.
 func (e *endpoint) slots() int {
-	bearable := math.Min(e.learned, float64(e.announced))
-	return max(1, int(math.Ceil(bearable*e.warm-0.001)))
+	learned := math.Min(e.learnedSlots, float64(e.announcedSlots))
+	return max(1, int(math.Ceil(learned*e.warm-0.001)))
 }
 
 func (e *endpoint) free() int { return e.slots() - e.inFlight }
 
-// paused says whether the endpoint is out of use for a while because of sheds.
-func (e *endpoint) paused(now time.Time) bool { return now.Before(e.pausedTill) }
+// paused reports whether the endpoint gets no requests for a while because of
+// sheds.
+func (e *endpoint) paused(now time.Time) bool { return now.Before(e.pausedUntil) }
 
-// ejected says whether the endpoint is out of use because of failures.
-func (e *endpoint) ejected(now time.Time) bool { return now.Before(e.ejectTill) }
+// ejected reports whether the endpoint gets no requests for a while because
+// of failures.
+func (e *endpoint) ejected(now time.Time) bool { return now.Before(e.ejectedUntil) }
 
-// slowness is the endpoint's latency as a multiple of its peers', or 1 while
-// it is not clearly slower, and again after a time without samples.
-func (e *endpoint) slowness(now time.Time, peers float64) float64 {
-	if peers <= 0 || e.samples < minSamples {
+// slowness returns the endpoint's latency as a multiple of its peers'. It
+// returns 1 while the endpoint is not clearly slower, and after slownessTTL
+// without samples.
+func (e *endpoint) slowness(now time.Time, peerLatency float64) float64 {
+	if peerLatency <= 0 || e.samples < minSamples {
 		return 1
 	}
-	if now.Sub(e.lastSample) > retrySlowAfter {
+	if now.Sub(e.lastSample) > slownessTTL {
 		return 1
 	}
-	ratio := e.latency / peers
+	ratio := e.latency / peerLatency
 	if ratio < slowFactor {
 		return 1
 	}
 	return ratio
 }
 
-// cost orders endpoints; the lowest gets the next request. An idle endpoint of
-// which little is known comes first, one request at a time: without samples of
-// its peers a slow endpoint can't be told from a fast one.
-func (e *endpoint) cost(now time.Time, peers float64) float64 {
-	used := float64(e.inFlight+1) / float64(e.slots())
+// cost ranks endpoints; the one with the lowest cost gets the next request.
+// An idle endpoint with too few samples comes first, with one request at a
+// time: as long as its peers have no samples, a slow endpoint can't be
+// distinguished from a fast one.
+func (e *endpoint) cost(now time.Time, peerLatency float64) float64 {
+	utilization := float64(e.inFlight+1) / float64(e.slots())
 	if e.samples < minSamples {
-		used *= 1 + e.load
+		utilization *= 1 + e.load
 		if e.inFlight == 0 && e.failures == 0 && e.sheds == 0 {
-			used *= unknownFirst
+			utilization *= unsampledCostFactor
 		}
 	}
 	reliability := max(e.success, minSuccess)
-	return used * e.slowness(now, peers) / (reliability * reliability)
+	return utilization * e.slowness(now, peerLatency) / (reliability * reliability)
 }
 
-// port returns the endpoint as the dispatcher needs it.
+// port returns the endpoint's identity, address and connections.
 func (e *endpoint) port() port.Endpoint {
 	return port.Endpoint{
 		ID:          e.id,
--- a/internal/core/admission/faults_test.go
+++ b/internal/core/admission/faults_test.go
@@ -14,55 +14,55 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// fake is an endpoint that answers as its fields say.
-type fake struct {
-	id      string
-	load    float64
-	slots   int // announced; 3 when 0
-	latency time.Duration
-	kind    admission.ResultKind
-	every   int // only each such request ends with kind; 0 means all
-	silent  bool
+// fakeEndpoint simulates an endpoint that behaves as its fields say.
+type fakeEndpoint struct {
+	id        string
+	load      float64
+	slots     int // announced; 3 when 0
+	latency   time.Duration
+	kind      admission.ResultKind
+	failEvery int // only every n-th request ends with kind; 0 means all
+	stopped   bool
 }
 
-// bench drives a group with fakes in steps of 10 ms.
-type bench struct {
+// harness drives a group with fake endpoints in steps of 10 ms.
+type harness struct {
 	g        *admission.Group
 	now      time.Time
-	fakes    []*fake
+	fakes    []*fakeEndpoint
 	sequence uint64
 	nextID   uint64
-	ends     map[uint64]end
-	got      map[string]int // requests per endpoint
+	pending  map[uint64]pendingEnd
+	received map[string]int // requests per endpoint
 	refused  int
-	patience time.Duration
+	timeout  time.Duration
 }
 
-type end struct {
-	at    time.Time
-	since time.Time
-	kind  admission.ResultKind
+type pendingEnd struct {
+	endsAt    time.Time
+	startedAt time.Time
+	kind      admission.ResultKind
 }
 
-func newBench(cfg admission.Config, fakes ...*fake) *bench {
-	b := &bench{
+func newHarness(cfg admission.Config, fakes ...*fakeEndpoint) *harness {
+	b := &harness{
 		g: admission.NewGroup(cfg), now: start, fakes: fakes,
-		ends: map[uint64]end{}, got: map[string]int{}, patience: 500 * time.Millisecond,
+		pending: map[uint64]pendingEnd{}, received: map[string]int{}, timeout: 500 * time.Millisecond,
 	}
 	b.announce()
 	return b
 }
 
-func (b *bench) announce() {
+func (b *harness) announce() {
 	b.sequence++
 	for _, f := range b.fakes {
-		if !f.silent {
-			b.g.Announce(b.now, b.report(f))
+		if !f.stopped {
+			b.g.Announce(b.now, b.announcement(f))
 		}
 	}
 }
 
-func (b *bench) report(f *fake) admission.Announcement {
+func (b *harness) announcement(f *fakeEndpoint) admission.Announcement {
 	slots := f.slots
 	if slots == 0 {
 		slots = 3
@@ -73,36 +73,37 @@
 	}
 }
 
-func (b *bench) begin(ticket uint64, id string) {
+func (b *harness) begin(ticket uint64, id string) {
 	for _, f := range b.fakes {
 		if f.id == id {
-			b.got[id]++
+			b.received[id]++
 			kind := f.kind
-			if f.every > 0 && b.got[id]%f.every != 0 {
+			if f.failEvery > 0 && b.received[id]%f.failEvery != 0 {
 				kind = admission.OK
 			}
-			b.ends[ticket] = end{b.now.Add(f.latency), b.now, kind}
+			b.pending[ticket] = pendingEnd{b.now.Add(f.latency), b.now, kind}
 		}
 	}
 }
 
-func (b *bench) grants(grants []admission.Grant) {
+func (b *harness) grants(grants []admission.Grant) {
 	for _, grant := range grants {
 		b.begin(grant.Ticket, grant.Endpoint.ID)
 	}
 }
 
-// run lets time pass with the given requests per step of 10 ms.
-func (b *bench) run(d time.Duration, perStep int) {
+// run advances the time by d, with the given number of requests per step of
+// 10 ms.
+func (b *harness) run(d time.Duration, perStep int) {
 	for until := b.now.Add(d); b.now.Before(until); b.now = b.now.Add(10 * time.Millisecond) {
 		if b.now.Sub(start)%time.Second == 0 {
 			b.announce()
 		}
-		for _, id := range slices.Sorted(maps.Keys(b.ends)) {
-			e := b.ends[id]
-			if !b.now.Before(e.at) {
-				delete(b.ends, id)
-				b.grants(b.g.Done(b.now, id, admission.Result{Kind: e.kind, Latency: b.now.Sub(e.since)}))
+		for _, id := range slices.Sorted(maps.Keys(b.pending)) {
+			e := b.pending[id]
+			if !b.now.Before(e.endsAt) {
+				delete(b.pending, id)
+				b.grants(b.g.Done(b.now, id, admission.Result{Kind: e.kind, Latency: b.now.Sub(e.startedAt)}))
 			}
 		}
 		grants, _ := b.g.Tick(b.now)
@@ -113,9 +114,9 @@
 	}
 }
 
-func (b *bench) offer() {
+func (b *harness) offer() {
 	b.nextID++
-	t := admission.Ticket{ID: b.nextID, Deadline: b.now.Add(b.patience), Own: true}
+	t := admission.Ticket{ID: b.nextID, Deadline: b.now.Add(b.timeout), Own: true}
 	switch d := b.g.Offer(b.now, t); d.Kind {
 	case admission.Granted:
 		b.begin(t.ID, d.Endpoint.ID)
@@ -125,40 +126,43 @@
 	}
 }
 
-func good(id string) *fake { return &fake{id: id, latency: 30 * time.Millisecond} }
+func healthyEndpoint(id string) *fakeEndpoint {
+	return &fakeEndpoint{id: id, latency: 30 * time.Millisecond}
+}
 
-// TestWorkFollowsRequests lets one of four endpoints lie in its reports; the
-// share of work that it gets must follow from what its requests show.
-func TestWorkFollowsRequests(t *testing.T) {
+// TestLoadFollowsResultsNotReports guards against load on an endpoint that
+// reports or announces falsely. One of four endpoints does; its share of the
+// requests must follow from their results.
+func TestLoadFollowsResultsNotReports(t *testing.T) {
 	slow := 300 * time.Millisecond
 	failed, shed := admission.Failed, admission.Shed
 	cases := []struct {
 		name     string
-		liar     *fake
-		perStep  int     // requests per 10 ms; the honest three can run 9 in 30 ms
-		min, max float64 // share of the work, a fair one being 0.25
+		faulty   *fakeEndpoint
+		perStep  int     // requests per 10 ms; the other three can run 9 in 30 ms
+		min, max float64 // share of the requests; an equal one is 0.25
 	}{
-		{"says 0 for ever, is slow", &fake{id: "x", latency: slow}, 2, 0, 0.05},
-		{"says 0 for ever, is twice as slow", &fake{id: "x", latency: 75 * time.Millisecond}, 2, 0, 0.07},
-		{"says 0 for ever, fails at once", &fake{id: "x", latency: time.Millisecond, kind: failed}, 2, 0, 0.02},
-		{"fails at once, others full", &fake{id: "x", latency: time.Millisecond, kind: failed}, 4, 0, 0.02},
-		{"fails every other time", &fake{id: "x", latency: 30 * time.Millisecond, kind: failed, every: 2}, 2, 0, 0.1},
-		{"says 0 for ever, sheds", &fake{id: "x", latency: time.Millisecond, kind: shed}, 2, 0, 0.05},
-		{"sheds, others full", &fake{id: "x", latency: time.Millisecond, kind: shed}, 4, 0, 0.02},
-		{"says 0 for ever, never answers", &fake{id: "x", latency: 500 * time.Millisecond, kind: admission.Timeout}, 2, 0, 0.02},
-		{"says full for ever, is fine", &fake{id: "x", latency: 30 * time.Millisecond, load: 1}, 2, 0.2, 0.3},
-		{"claims many slots, is slow", &fake{id: "x", slots: 1000, latency: slow}, 2, 0, 0.1},
-		{"claims many slots, sheds", &fake{id: "x", slots: 1000, latency: time.Millisecond, kind: shed}, 2, 0, 0.05},
+		{"always reports 0, is slow", &fakeEndpoint{id: "x", latency: slow}, 2, 0, 0.05},
+		{"always reports 0, is 2.5 times as slow", &fakeEndpoint{id: "x", latency: 75 * time.Millisecond}, 2, 0, 0.07},
+		{"always reports 0, fails at once", &fakeEndpoint{id: "x", latency: time.Millisecond, kind: failed}, 2, 0, 0.02},
+		{"fails at once, others full", &fakeEndpoint{id: "x", latency: time.Millisecond, kind: failed}, 4, 0, 0.02},
+		{"fails every other time", &fakeEndpoint{id: "x", latency: 30 * time.Millisecond, kind: failed, failEvery: 2}, 2, 0, 0.1},
+		{"always reports 0, sheds", &fakeEndpoint{id: "x", latency: time.Millisecond, kind: shed}, 2, 0, 0.05},
+		{"sheds, others full", &fakeEndpoint{id: "x", latency: time.Millisecond, kind: shed}, 4, 0, 0.02},
+		{"always reports 0, never answers", &fakeEndpoint{id: "x", latency: 500 * time.Millisecond, kind: admission.Timeout}, 2, 0, 0.02},
+		{"always reports full load, is healthy", &fakeEndpoint{id: "x", latency: 30 * time.Millisecond, load: 1}, 2, 0.2, 0.3},
+		{"announces many slots, is slow", &fakeEndpoint{id: "x", slots: 1000, latency: slow}, 2, 0, 0.1},
+		{"announces many slots, sheds", &fakeEndpoint{id: "x", slots: 1000, latency: time.Millisecond, kind: shed}, 2, 0, 0.05},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(admission.Config{}, good("a"), good("b"), good("c"), c.liar)
+			b := newHarness(admission.Config{}, healthyEndpoint("a"), healthyEndpoint("b"), healthyEndpoint("c"), c.faulty)
 			b.run(10*time.Second, c.perStep)
 			total := 0
-			for _, n := range b.got {
+			for _, n := range b.received {
 				total += n
 			}
-			share := float64(b.got["x"]) / float64(total)
+			share := float64(b.received["x"]) / float64(total)
 			if share < c.min || share > c.max {
 				t.Errorf("share %.3f of %d, want %.2f to %.2f", share, total, c.min, c.max)
 			}
@@ -166,53 +170,55 @@
 	}
 }
 
-// TestReportsAtFault lets reports stop, lag and cross.
-func TestReportsAtFault(t *testing.T) {
-	four := func() *bench {
-		return newBench(admission.Config{}, good("a"), good("b"), good("c"), good("d"))
+// TestFaultyAnnouncements guards against the loss of working endpoints, and
+// the return of ended ones, when announcements stop, are delayed or arrive
+// out of order.
+func TestFaultyAnnouncements(t *testing.T) {
+	four := func() *harness {
+		return newHarness(admission.Config{}, healthyEndpoint("a"), healthyEndpoint("b"), healthyEndpoint("c"), healthyEndpoint("d"))
 	}
 	cases := []struct {
 		name string
-		run  func(b *bench)
+		run  func(b *harness)
 		want int // endpoints in use
 	}{
-		{"one stops, 2.9 s", func(b *bench) {
-			b.fakes[0].silent = true
+		{"one stops, 2.9 s", func(b *harness) {
+			b.fakes[0].stopped = true
 			b.run(2900*time.Millisecond, 1)
 		}, 4},
-		{"one stops, 4.1 s", func(b *bench) {
+		{"one stops, 4.1 s", func(b *harness) {
 			b.run(time.Second, 1)
-			b.fakes[0].silent = true
+			b.fakes[0].stopped = true
 			b.run(4100*time.Millisecond, 1)
 		}, 3},
-		{"two of four stop", func(b *bench) {
-			b.fakes[0].silent, b.fakes[1].silent = true, true
+		{"two of four stop", func(b *harness) {
+			b.fakes[0].stopped, b.fakes[1].stopped = true, true
 			b.run(5*time.Second, 1)
 		}, 2},
-		{"three of four stop", func(b *bench) {
-			b.fakes[0].silent, b.fakes[1].silent, b.fakes[2].silent = true, true, true
+		{"three of four stop", func(b *harness) {
+			b.fakes[0].stopped, b.fakes[1].stopped, b.fakes[2].stopped = true, true, true
 			b.run(60*time.Second, 1)
 		}, 4},
-		{"all stop in turn within a second", func(b *bench) {
+		{"all stop in turn within a second", func(b *harness) {
 			for _, f := range b.fakes {
 				b.now = b.now.Add(250 * time.Millisecond)
 				b.announce()
-				f.silent = true
+				f.stopped = true
 			}
 			b.now = b.now.Truncate(time.Second).Add(time.Second)
 			b.run(60*time.Second, 1)
 		}, 4},
-		{"all stop and one fails", func(b *bench) {
+		{"all stop and one fails", func(b *harness) {
 			for _, f := range b.fakes {
-				f.silent = true
+				f.stopped = true
 			}
 			b.fakes[0].kind = admission.Failed
 			b.run(10*time.Second, 2)
 		}, 3},
-		{"all lag 10 s", func(b *bench) {
+		{"all are delayed by 10 s", func(b *harness) {
 			b.run(5*time.Second, 1)
 			for i := range 1000 { // in steps of 10 ms
-				b.sequence = uint64(6 + i/100) // no newer one than was sent 10 s ago
+				b.sequence = uint64(6 + i/100) // no newer than what was sent 10 s ago
 				b.now = b.now.Add(10 * time.Millisecond)
 				b.g.Tick(b.now)
 				if i%100 == 99 {
@@ -220,53 +226,53 @@
 				}
 			}
 		}, 4},
-		{"an older report", func(b *bench) {
+		{"a stale announcement", func(b *harness) {
 			b.run(2*time.Second, 1)
-			old := b.report(b.fakes[0])
+			old := b.announcement(b.fakes[0])
 			old.Sequence, old.State = 1, admission.Starting
 			b.g.Announce(b.now, old)
 		}, 4},
-		{"an earlier incarnation leaves", func(b *bench) {
-			old := b.report(b.fakes[0])
+		{"an earlier incarnation leaves", func(b *harness) {
+			old := b.announcement(b.fakes[0])
 			old.Incarnation, old.Sequence, old.State = 4, 99, admission.Leaving
 			b.g.Announce(b.now, old)
 		}, 4},
-		{"leaves, and an older report comes late", func(b *bench) {
-			leaving := b.report(b.fakes[0])
+		{"leaves, and a stale announcement arrives late", func(b *harness) {
+			leaving := b.announcement(b.fakes[0])
 			leaving.Sequence, leaving.State = 50, admission.Leaving
 			b.g.Announce(b.now, leaving)
 			b.announce()
 		}, 3},
-		{"leaves, and a crossed newer report follows", func(b *bench) {
-			leaving := b.report(b.fakes[0])
+		{"leaves, and a newer announcement overtakes", func(b *harness) {
+			leaving := b.announcement(b.fakes[0])
 			leaving.State = admission.Leaving
-			newer := b.report(b.fakes[0])
+			newer := b.announcement(b.fakes[0])
 			newer.Sequence = 70
 			b.g.Announce(b.now, newer)
 			b.g.Announce(b.now, leaving)
 			b.run(5*time.Second, 1)
 		}, 3},
-		{"leaves and is silent, then reports", func(b *bench) {
-			leaving := b.report(b.fakes[0])
+		{"leaves and stops announcing, then announces again", func(b *harness) {
+			leaving := b.announcement(b.fakes[0])
 			leaving.State = admission.Leaving
 			b.g.Announce(b.now, leaving)
-			b.fakes[0].silent = true
+			b.fakes[0].stopped = true
 			b.run(10*time.Second, 1)
-			b.fakes[0].silent = false
+			b.fakes[0].stopped = false
 			b.run(5*time.Second, 1)
 		}, 3},
-		{"leaves and starts again", func(b *bench) {
-			again := b.report(b.fakes[0])
+		{"leaves and starts again", func(b *harness) {
+			again := b.announcement(b.fakes[0])
 			again.State = admission.Leaving
 			b.g.Announce(b.now, again)
 			again.Incarnation, again.State = 6, admission.Ready
 			b.g.Announce(b.now, again)
 		}, 4},
-		{"lost, and a late report of it", func(b *bench) {
+		{"lost, and a stale announcement arrives late", func(b *harness) {
 			b.g.Lost(b.now, "a", 5)
-			b.g.Announce(b.now, b.report(b.fakes[0]))
+			b.g.Announce(b.now, b.announcement(b.fakes[0]))
 		}, 3},
-		{"another incarnation lost", func(b *bench) { b.g.Lost(b.now, "a", 4) }, 4},
+		{"another incarnation lost", func(b *harness) { b.g.Lost(b.now, "a", 4) }, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -277,33 +283,34 @@
 	}
 }
 
-// TestLeavingGetsNoWork offers work from the moment of leaving on.
+// TestLeavingGetsNoWork guards against grants to an endpoint after it has
+// announced that it leaves.
 func TestLeavingGetsNoWork(t *testing.T) {
 	is := is.New(t)
-	b := newBench(admission.Config{}, good("a"), good("b"))
+	b := newHarness(admission.Config{}, healthyEndpoint("a"), healthyEndpoint("b"))
 	b.run(time.Second, 2)
-	leaving := b.report(b.fakes[0])
+	leaving := b.announcement(b.fakes[0])
 	leaving.State = admission.Leaving
 	b.g.Announce(b.now, leaving)
-	before := b.got["a"]
+	before := b.received["a"]
 	b.run(5*time.Second, 2)
 	is.True(before > 0)
-	is.Equal(b.got["a"], before)
+	is.Equal(b.received["a"], before)
 }
 
 func TestOffer(t *testing.T) {
-	ready := func() *bench { // 3 slots of 100 ms, all known
-		return newBench(admission.Config{ReservePercent: 40}, &fake{id: "a", latency: 100 * time.Millisecond})
+	ready := func() *harness { // 3 slots, latency of 100 ms
+		return newHarness(admission.Config{ReservePercent: 40}, &fakeEndpoint{id: "a", latency: 100 * time.Millisecond})
 	}
-	fill := func(b *bench, n int) {
+	fill := func(b *harness, n int) {
 		for range n {
 			b.offer()
 		}
 	}
-	ticket := func(b *bench, own bool, ms int) admission.Ticket {
+	ticket := func(b *harness, own bool, ms int) admission.Ticket {
 		return admission.Ticket{ID: 1 << 40, Own: own, Deadline: b.now.Add(time.Duration(ms) * time.Millisecond)}
 	}
-	excluded := func(b *bench) admission.Ticket {
+	excluded := func(b *harness) admission.Ticket {
 		t := ticket(b, true, 900)
 		t.Exclude = []string{"a"}
 		return t
@@ -311,22 +318,22 @@
 	cases := []struct {
 		name   string
 		busy   int
-		ticket func(b *bench) admission.Ticket
+		ticket func(b *harness) admission.Ticket
 		kind   admission.DecisionKind
 		reason verdict.Reason
 	}{
-		{"free slot", 2, func(b *bench) admission.Ticket { return ticket(b, true, 300) }, admission.Granted, ""},
-		{"full", 3, func(b *bench) admission.Ticket { return ticket(b, true, 900) }, admission.Queued, ""},
-		{"a sixteenth of the deadline is too short", 3, func(b *bench) admission.Ticket { return ticket(b, true, 300) }, admission.Refused, verdict.ReasonOverload},
-		{"deadline passed", 0, func(b *bench) admission.Ticket { return ticket(b, true, 0) }, admission.Refused, verdict.ReasonDeadline},
-		{"queue can't meet the deadline", 9, func(b *bench) admission.Ticket { return ticket(b, true, 300) }, admission.Refused, verdict.ReasonOverload},
-		{"longer deadline", 4, func(b *bench) admission.Ticket { return ticket(b, true, 1200) }, admission.Queued, ""},
-		{"longer than the median latency", 6, func(b *bench) admission.Ticket { return ticket(b, true, 60_000) }, admission.Refused, verdict.ReasonOverload},
-		{"no time left for the endpoint", 3, func(b *bench) admission.Ticket { return ticket(b, true, 120) }, admission.Refused, verdict.ReasonOverload},
-		{"spilled below the reserve", 0, func(b *bench) admission.Ticket { return ticket(b, false, 900) }, admission.Granted, ""},
-		{"spilled into the reserve", 1, func(b *bench) admission.Ticket { return ticket(b, false, 900) }, admission.Refused, verdict.ReasonOverload},
-		{"spilled, long deadline", 1, func(b *bench) admission.Ticket { return ticket(b, false, 60_000) }, admission.Queued, ""},
-		{"own into the reserve", 1, func(b *bench) admission.Ticket { return ticket(b, true, 900) }, admission.Granted, ""},
+		{"free slot", 2, func(b *harness) admission.Ticket { return ticket(b, true, 300) }, admission.Granted, ""},
+		{"full", 3, func(b *harness) admission.Ticket { return ticket(b, true, 900) }, admission.Queued, ""},
+		{"a sixteenth of the deadline is too short", 3, func(b *harness) admission.Ticket { return ticket(b, true, 300) }, admission.Refused, verdict.ReasonOverload},
+		{"deadline passed", 0, func(b *harness) admission.Ticket { return ticket(b, true, 0) }, admission.Refused, verdict.ReasonDeadline},
+		{"queue can't meet the deadline", 9, func(b *harness) admission.Ticket { return ticket(b, true, 300) }, admission.Refused, verdict.ReasonOverload},
+		{"longer deadline", 4, func(b *harness) admission.Ticket { return ticket(b, true, 1200) }, admission.Queued, ""},
+		{"longer than the median latency", 6, func(b *harness) admission.Ticket { return ticket(b, true, 60_000) }, admission.Refused, verdict.ReasonOverload},
+		{"no time left for the endpoint", 3, func(b *harness) admission.Ticket { return ticket(b, true, 120) }, admission.Refused, verdict.ReasonOverload},
+		{"spilled below the reserve", 0, func(b *harness) admission.Ticket { return ticket(b, false, 900) }, admission.Granted, ""},
+		{"spilled into the reserve", 1, func(b *harness) admission.Ticket { return ticket(b, false, 900) }, admission.Refused, verdict.ReasonOverload},
+		{"spilled, long deadline", 1, func(b *harness) admission.Ticket { return ticket(b, false, 60_000) }, admission.Queued, ""},
+		{"own into the reserve", 1, func(b *harness) admission.Ticket { return ticket(b, true, 900) }, admission.Granted, ""},
 		{"no other endpoint", 0, excluded, admission.Refused, verdict.ReasonNoEndpoint},
 	}
 	for _, c := range cases {
@@ -335,7 +342,7 @@
 			b := ready()
 			b.run(2*time.Second, 1)
 			b.run(2*time.Second, 0)
-			b.patience = time.Minute
+			b.timeout = time.Minute
 			fill(b, c.busy)
 			got := b.g.Offer(b.now, c.ticket(b))
 			is.Equal(got.Kind, c.kind)
@@ -344,10 +351,12 @@
 	}
 }
 
-// TestOwnTrafficGoesFirst queues spilled-in work before own work.
-func TestOwnTrafficGoesFirst(t *testing.T) {
+// TestOwnTrafficTakesPrecedence guards against spilled-in requests that delay
+// own ones: a spilled-in request is queued first, an own one after it, and
+// then a slot is released.
+func TestOwnTrafficTakesPrecedence(t *testing.T) {
 	is := is.New(t)
-	b := newBench(admission.Config{}, &fake{id: "a", slots: 1, latency: time.Hour})
+	b := newHarness(admission.Config{}, &fakeEndpoint{id: "a", slots: 1, latency: time.Hour})
 	b.offer()
 	deadline := b.now.Add(time.Minute)
 	b.g.Offer(b.now, admission.Ticket{ID: 100, Deadline: deadline})
@@ -359,9 +368,10 @@
 	is.Equal(len(b.g.Done(b.now, 101, admission.Result{Latency: time.Millisecond})), 0)
 }
 
-// TestSlowStart starts one of three endpoints, or brings it back after it was
-// silent: it begins with a part of its slots, grows while its latency is near
-// its peers', and not while it is far from them.
+// TestSlowStart guards against overload of a cold endpoint. One of three
+// endpoints starts, or returns after its announcements had stopped. It begins
+// with a part of its slots, and grows only while its latency is close to that
+// of its peers.
 func TestSlowStart(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -377,15 +387,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			cold := &fake{id: "c", slots: 10, latency: 30 * time.Millisecond, silent: !c.known}
-			b := newBench(admission.Config{},
-				&fake{id: "a", slots: 10, latency: 30 * time.Millisecond},
-				&fake{id: "b", slots: 10, latency: 30 * time.Millisecond}, cold)
+			cold := &fakeEndpoint{id: "c", slots: 10, latency: 30 * time.Millisecond, stopped: !c.known}
+			b := newHarness(admission.Config{},
+				&fakeEndpoint{id: "a", slots: 10, latency: 30 * time.Millisecond},
+				&fakeEndpoint{id: "b", slots: 10, latency: 30 * time.Millisecond}, cold)
 			b.run(2*time.Second, 6)
-			cold.silent, cold.latency = true, c.latency
+			cold.stopped, cold.latency = true, c.latency
 			b.run(6*time.Second, 6)
 			is.Equal(b.g.Stats(b.now).Slots, 20)
-			cold.silent = false
+			cold.stopped = false
 			b.announce()
 			is.Equal(b.g.Stats(b.now).Slots, 22)
 			b.run(11*time.Second, 6)
@@ -395,26 +405,28 @@
 	}
 }
 
-// TestNewOwnerStartsAtFullCapacity lets endpoints announce themselves to a new
-// owner one after the other, with ticks between.
+// TestNewOwnerStartsAtFullCapacity guards against a new owner that treats
+// running endpoints as cold. The endpoints announce themselves one after the
+// other, with ticks between.
 func TestNewOwnerStartsAtFullCapacity(t *testing.T) {
 	is := is.New(t)
-	b := newBench(admission.Config{}, good("a"))
+	b := newHarness(admission.Config{}, healthyEndpoint("a"))
 	for _, id := range []string{"b", "c", "d"} {
 		b.run(300*time.Millisecond, 1)
-		b.g.Announce(b.now, b.report(good(id)))
+		b.g.Announce(b.now, b.announcement(healthyEndpoint(id)))
 	}
 	is.Equal(b.g.Stats(b.now).Slots, 12)
 	b.run(5*time.Second, 0)
-	b.g.Announce(b.now, b.report(good("e")))
-	is.Equal(b.g.Stats(b.now).Slots, 12+1) // e comes later and is cold
+	b.g.Announce(b.now, b.announcement(healthyEndpoint("e")))
+	is.Equal(b.g.Stats(b.now).Slots, 12+1) // e joins later and is cold
 }
 
-// TestQueueLeavesTimeForSlowRequests refuses a request that would end in time
-// at the median latency, but not at that of the slowest tenth.
+// TestQueueLeavesTimeForSlowRequests guards against queued requests that miss
+// their deadline at a slow run: the request would end in time at the median
+// latency, but not at the 0.9 quantile.
 func TestQueueLeavesTimeForSlowRequests(t *testing.T) {
 	is := is.New(t)
-	b := newBench(admission.Config{}, &fake{id: "a"})
+	b := newHarness(admission.Config{}, &fakeEndpoint{id: "a"})
 	b.run(100*time.Millisecond, 0)
 	for id := range uint64(100) {
 		latency := 10 * time.Millisecond
--- a/internal/core/admission/group.go
+++ b/internal/core/admission/group.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// ownWaitPart and spilledWaitPart are the parts (one over them) of the time
-	// left that a request may wait. A longer queue would only make every
-	// request in it late: its work would be cancelled half done.
-	ownWaitPart     = 16
-	spilledWaitPart = 64
-	// neededQuantile is the part of requests that end within the time that the
-	// queue leaves for an endpoint.
-	neededQuantile = 0.9
+	// ownWaitDivisor and spilledWaitDivisor divide the time left before a
+	// request's deadline to get the longest time that it may wait. In a
+	// longer queue every request would be late, and its run would be canceled
+	// halfway.
+	ownWaitDivisor     = 16
+	spilledWaitDivisor = 64
+	// serviceTimeQuantile is the part of the requests that end within the
+	// time that is left for the run after the wait in the queue.
+	serviceTimeQuantile = 0.9
 )
 
-// Ticket is a request that asks for a slot.
+// Ticket is a request for a slot.
 type Ticket struct {
 	// ID identifies the request in the group.
 	ID uint64
-	// Deadline is the moment after which the answer is of no use.
+	// Deadline is the time after which the answer is useless.
 	Deadline time.Time
-	// Own says that the request originates in the group's place. Other work is
-	// spilled in: it comes after own traffic and leaves the reserve free.
+	// Own is true if the request originates in the group's place. Other
+	// requests are spilled in: they come after own ones and leave the reserve
+	// free.
 	Own bool
-	// Exclude names endpoints that must not get the request, because an
+	// Exclude lists endpoints that must not get the request, because an
 	// earlier attempt went there.
 	Exclude []string
 }
 
-// DecisionKind says what becomes of an offered request.
+// DecisionKind is the result of an offer.
 type DecisionKind uint8
 
 const (
@@ -47,7 +49,7 @@
 
 // Decision answers an offer.
 type Decision struct {
-	// Kind says what becomes of the request.
+	// Kind is the result.
 	Kind DecisionKind
 	// Endpoint is set when Kind is Granted.
 	Endpoint port.Endpoint
@@ -55,53 +57,53 @@
 	Reason verdict.Reason
 }
 
-// Grant gives a queued request to an endpoint.
+// Grant assigns a queued request to an endpoint.
 type Grant struct {
 	// Ticket is the ID of the request.
 	Ticket uint64
-	// Endpoint is where it goes.
+	// Endpoint is the endpoint that gets the request.
 	Endpoint port.Endpoint
 }
 
-// Stats describe a group at one moment.
+// Stats describes a group at one time.
 type Stats struct {
-	// Endpoints counts the endpoints that take work.
+	// Endpoints counts the usable endpoints.
 	Endpoints int
 	// Slots counts the requests that they may run at once.
 	Slots int
 	// Busy counts the slots in use.
 	Busy int
-	// Queued counts the requests that wait.
+	// Queued counts the queued requests.
 	Queued int
-	// Latency is the median time of recent requests; 0 without any.
+	// Latency is the median latency of recent requests; 0 without any.
 	Latency time.Duration
-	// Blind says that over half of the endpoints are late with their reports,
-	// so that the last list is kept.
-	Blind bool
+	// ReportsStale is true while more than half of the endpoints are late
+	// with their announcements, so that the last list of endpoints is kept.
+	ReportsStale bool
 }
 
-// flight is a granted request that has not ended.
-type flight struct {
+// inFlightRequest is a granted request that has not ended.
+type inFlightRequest struct {
 	endpoint *endpoint
 }
 
-// Group holds the endpoints of one service in one place, as their owner sees
-// them. It is not safe for concurrent use.
+// Group holds the endpoints of one service in one place and the requests that
+// run and wait there. It is not safe for concurrent use.
 type Group struct {
-	cfg        Config
-	byID       map[string]*endpoint // includes those that are gone
-	endpoints  []*endpoint          // in use, ordered by ID
-	flights    map[uint64]flight
-	own        queue
-	spilled    queue
-	expired    []uint64 // not yet returned by Tick
-	latency    *LatencyWindow
-	uses       uint64    // counts grants
-	since      time.Time // of the first announcement
-	lastTick   time.Time
-	lastForget time.Time
-	blind      bool
-	scratch    []float64
+	cfg                Config
+	byID               map[string]*endpoint // includes those that are gone
+	endpoints          []*endpoint          // in use, ordered by ID
+	running            map[uint64]inFlightRequest
+	own                queue
+	spilled            queue
+	expired            []uint64 // IDs not yet returned by Tick
+	latency            *LatencyWindow
+	grantCount         uint64
+	firstAnnounced     time.Time // time of the first announcement
+	lastTick           time.Time
+	lastTombstoneCheck time.Time
+	reportsStale       bool
+	scratch            []float64
 }
 
 // NewGroup returns a group without endpoints.
@@ -109,16 +111,17 @@
 	return &Group{
 		cfg:     cfg.withDefaults(),
 		byID:    make(map[string]*endpoint),
-		flights: make(map[uint64]flight),
+		running: make(map[uint64]inFlightRequest),
 		latency: NewLatencyWindow(),
 	}
 }
 
-// Configure replaces the parameters, as when a new document is in force.
+// Configure replaces the parameters, as when a new document takes effect.
 func (g *Group) Configure(cfg Config) { g.cfg = cfg.withDefaults() }
 
-// Offer asks for a slot. A granted request must be ended with Done. A queued
-// one ends by a Grant, by Cancel, or by its ID among those that Tick expires.
+// Offer requests a slot. A granted request must be ended with Done. A queued
+// one ends by a Grant from Done or Tick, by Cancel, or by its ID among those
+// that Tick returns as expired.
 func (g *Group) Offer(now time.Time, t Ticket) Decision {
 	if g.has(t.ID) {
 		return Decision{Reason: verdict.ReasonInternal}
@@ -134,15 +137,15 @@
 	if !g.anyUsable(t.Exclude) {
 		return Decision{Reason: verdict.ReasonNoEndpoint}
 	}
-	if !g.meets(now, t) {
+	if !g.canMeetDeadline(now, t) {
 		return Decision{Reason: verdict.ReasonOverload}
 	}
 	g.queueFor(t).push(t)
 	return Decision{Kind: Queued}
 }
 
-// Cancel takes a request out of the queue. True means that it was still queued
-// and will never be granted.
+// Cancel removes a request from the queue. True means that it was still
+// queued and will never be granted.
 func (g *Group) Cancel(_ time.Time, id uint64) bool {
 	if at := slices.Index(g.expired, id); at >= 0 {
 		g.expired = slices.Delete(g.expired, at, at+1)
@@ -151,43 +154,44 @@
 	return g.own.cancel(id) || g.spilled.cancel(id)
 }
 
-// Done ends a granted request, learns from how it ended, and returns the queued
-// requests that are granted now. An unknown ID changes nothing.
+// Done ends a granted request, records its result, and returns the queued
+// requests that are granted by it. An unknown ID changes nothing.
 func (g *Group) Done(now time.Time, id uint64, r Result) []Grant {
-	f, ok := g.flights[id]
+	f, ok := g.running[id]
 	if !ok {
 		return nil
 	}
-	delete(g.flights, id)
+	delete(g.running, id)
 	f.endpoint.inFlight--
-	g.learn(now, f.endpoint, r)
-	return g.pump(now)
+	g.recordResult(now, f.endpoint, r)
+	return g.grantQueued(now)
 }
 
-// Tick lets time pass: it ends what went silent, warms what is cold, drops
-// queued requests that can't end in time and grants others. Call it about
-// every 20 ms. The expired requests will never be granted.
+// Tick applies the passing of time: it takes unresponsive endpoints out of
+// use, advances the slow start of cold ones, drops queued requests that can't
+// end in time and grants others. Call it about every 20 ms. The expired
+// requests will never be granted.
 func (g *Group) Tick(now time.Time) (grants []Grant, expired []uint64) {
-	g.expireSilent(now)
+	g.expireUnresponsive(now)
 	if !g.lastTick.IsZero() {
-		g.warmUp(now.Sub(g.lastTick))
+		g.advanceSlowStart(now.Sub(g.lastTick))
 	}
 	g.lastTick = now
-	if now.Sub(g.lastForget) >= forgetEvery {
-		g.forget(now)
-		g.lastForget = now
+	if now.Sub(g.lastTombstoneCheck) >= tombstoneCheckInterval {
+		g.removeTombstones(now)
+		g.lastTombstoneCheck = now
 	}
-	grants = g.pump(now)
+	grants = g.grantQueued(now)
 	expired, g.expired = g.expired, nil
 	return grants, expired
 }
 
-// Stats describes the group.
+// Stats returns the group's present figures.
 func (g *Group) Stats(_ time.Time) Stats {
 	s := Stats{
-		Queued:  g.own.len() + g.spilled.len(),
-		Latency: g.latency.Quantile(0.5),
-		Blind:   g.blind,
+		Queued:       g.own.len() + g.spilled.len(),
+		Latency:      g.latency.Quantile(0.5),
+		ReportsStale: g.reportsStale,
 	}
 	for _, e := range g.endpoints {
 		s.Busy += e.inFlight
@@ -206,9 +210,9 @@
 	return &g.spilled
 }
 
-// has says whether a request of this ID runs or waits.
+// has reports whether a request with this ID runs or waits.
 func (g *Group) has(id uint64) bool {
-	if _, ok := g.flights[id]; ok {
+	if _, ok := g.running[id]; ok {
 		return true
 	}
 	same := func(t Ticket) bool { return t.ID == id }
@@ -216,8 +220,8 @@
 		slices.ContainsFunc(g.spilled.tickets, same)
 }
 
-// mayStart says whether the order of precedence lets the request start when a
-// slot is free.
+// mayStart reports whether the request may start when a slot is free,
+// according to precedence and reserve.
 func (g *Group) mayStart(t Ticket) bool {
 	if t.Own {
 		return true
@@ -240,9 +244,9 @@
 	return slots, busy
 }
 
-// meets estimates whether a request that is queued now ends before its
-// deadline.
-func (g *Group) meets(now time.Time, t Ticket) bool {
+// canMeetDeadline estimates whether a request that is queued now ends before
+// its deadline.
+func (g *Group) canMeetDeadline(now time.Time, t Ticket) bool {
 	waiting := g.own.len() + g.spilled.len()
 	if waiting >= g.cfg.MaxQueue {
 		return false
@@ -259,38 +263,40 @@
 	median := g.latency.Quantile(0.5)
 	wait := median * time.Duration(ahead+1) / time.Duration(slots)
 	left := t.Deadline.Sub(now)
-	longest := min(left/ownWaitPart, median)
+	maxWait := min(left/ownWaitDivisor, median)
 	if !t.Own {
-		longest = left / spilledWaitPart
+		maxWait = left / spilledWaitDivisor
 	}
-	return wait <= longest && wait+g.needed() < left
+	return wait <= maxWait && wait+g.serviceTime() < left
 }
 
-// needed is the time that nearly all requests need on an endpoint.
-func (g *Group) needed() time.Duration { return g.latency.Quantile(neededQuantile) }
+// serviceTime is the time within which nearly all requests end at an
+// endpoint.
+func (g *Group) serviceTime() time.Duration { return g.latency.Quantile(serviceTimeQuantile) }
 
-// start gives a request to an endpoint.
+// start records that a request runs at an endpoint.
 func (g *Group) start(id uint64, e *endpoint) port.Endpoint {
-	g.uses++
-	e.lastUsed = g.uses
+	g.grantCount++
+	e.lastGrant = g.grantCount
 	e.inFlight++
-	g.flights[id] = flight{endpoint: e}
+	g.running[id] = inFlightRequest{endpoint: e}
 	return e.port()
 }
 
-// pump grants queued requests while there are free slots.
-func (g *Group) pump(now time.Time) []Grant {
+// grantQueued expires queued requests that can't end in time, and grants
+// others while there are free slots.
+func (g *Group) grantQueued(now time.Time) []Grant {
 	if g.own.len()+g.spilled.len() == 0 {
 		return nil
 	}
-	needed := g.needed()
-	g.expired = g.own.expire(now, needed, g.expired)
-	g.expired = g.spilled.expire(now, needed, g.expired)
-	grants := g.pumpQueue(now, &g.own, nil)
-	return g.pumpQueue(now, &g.spilled, grants)
+	serviceTime := g.serviceTime()
+	g.expired = g.own.expire(now, serviceTime, g.expired)
+	g.expired = g.spilled.expire(now, serviceTime, g.expired)
+	grants := g.grantFromQueue(now, &g.own, nil)
+	return g.grantFromQueue(now, &g.spilled, grants)
 }
 
-func (g *Group) pumpQueue(now time.Time, q *queue, grants []Grant) []Grant {
+func (g *Group) grantFromQueue(now time.Time, q *queue, grants []Grant) []Grant {
 	kept := q.tickets[:0]
 	for i, t := range q.tickets {
 		var e *endpoint
--- a/internal/core/admission/incarnation.go
+++ b/internal/core/admission/incarnation.go
@@ -1,7 +1,7 @@
 package admission
 
-// Incarnation returns the newest incarnation of an endpoint that was heard of,
-// 0 for none, and whether that one says that it leaves.
+// Incarnation returns the newest known incarnation of an endpoint, 0 if none,
+// and whether that one has announced that it leaves.
 func (g *Group) Incarnation(id string) (incarnation uint64, leaving bool) {
 	e := g.byID[id]
 	if e == nil {
--- a/internal/core/admission/latency.go
+++ b/internal/core/admission/latency.go
@@ -11,12 +11,13 @@
 	bucketsPerOctave = 8
 	// octaves covers latencies up to about 18 minutes (2^40 ns).
 	octaves = 40
-	// windowSamples is the number of samples after which the older half of the
-	// window is dropped.
+	// windowSamples is the number of samples after which the older half of
+	// the window is dropped.
 	windowSamples = 512
-	// lateQuantile is the part of requests that are not late.
+	// lateQuantile is the part of the requests that are not late.
 	lateQuantile = 0.95
-	// minLateSamples is the number of samples below which nothing is late.
+	// minLateSamples is the number of samples below which no request counts
+	// as late.
 	minLateSamples = 32
 )
 
@@ -26,30 +27,31 @@
 	total  int
 }
 
-// LatencyWindow is the distribution of a service's recent latencies. The zero
-// value is not ready; use NewLatencyWindow. It is not safe for concurrent use.
+// LatencyWindow is the distribution of the recent latencies of a service. Use
+// NewLatencyWindow; the zero value is not usable. It is not safe for
+// concurrent use.
 type LatencyWindow struct {
 	current  *histogram
 	previous *histogram
 	cached   [2]cachedQuantile
 }
 
-// cachedQuantile is a quantile as it was after a number of samples.
+// cachedQuantile is the value of a quantile at an earlier number of samples.
 type cachedQuantile struct {
 	q     float64
 	value time.Duration
-	stale int // samples since then
+	stale int // samples added since
 }
 
 // NewLatencyWindow returns a window without samples.
 func NewLatencyWindow() *LatencyWindow {
 	w := &LatencyWindow{current: &histogram{}, previous: &histogram{}}
 	w.cached[0].q = 0.5
-	w.cached[1].q = neededQuantile
+	w.cached[1].q = serviceTimeQuantile
 	return w
 }
 
-// Add takes in the latency of one answered request.
+// Add records the latency of one answered request.
 func (w *LatencyWindow) Add(d time.Duration) {
 	if w.current.total >= windowSamples {
 		w.current, w.previous = w.previous, w.current
@@ -62,12 +64,13 @@
 	}
 }
 
-// Samples counts the samples in the window.
+// Samples returns the number of samples in the window.
 func (w *LatencyWindow) Samples() int { return w.current.total + w.previous.total }
 
-// Quantile returns the latency that the part q (0 to 1) of the samples doesn't
-// exceed, rounded up by at most a tenth; 0 without samples. The quantiles that
-// admission uses for each request may lag by a few samples.
+// Quantile returns the latency that the part q (0 to 1) of the samples
+// doesn't exceed, rounded up by at most a tenth; 0 without samples. The
+// quantiles 0.5 and 0.9, which admission uses for each request, are cached
+// and may lag by a few samples.
 func (w *LatencyWindow) Quantile(q float64) time.Duration {
 	for i := range w.cached {
 		c := &w.cached[i]
@@ -99,8 +102,9 @@
 	return upperEdge(len(w.current.counts) - 1)
 }
 
-// Late says whether a request that has run for d is late against the
-// distribution of its service. Nothing is late while there are few samples.
+// Late reports whether a request that has run for d is late compared with
+// recent requests of its service. No request is late while there are few
+// samples.
 func (w *LatencyWindow) Late(d time.Duration) bool {
 	return w.Samples() >= minLateSamples && d > w.Quantile(lateQuantile)
 }
--- a/internal/core/admission/learn.go
+++ b/internal/core/admission/learn.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ResultKind says how a granted request ended.
+// ResultKind is the way in which a granted request ended.
 type ResultKind uint8
 
 const (
@@ -13,44 +13,45 @@
 	OK ResultKind = iota
 	// Shed means that the endpoint refused the request without running it.
 	Shed
-	// Failed means that the connection or the dial failed, or that the answer
-	// could not be used.
+	// Failed means that no connection could be opened, that it broke, or that
+	// the answer was unusable.
 	Failed
-	// Timeout means that no answer came in time.
+	// Timeout means that no answer arrived in time.
 	Timeout
-	// Canceled means that the caller went away; it says nothing of the
-	// endpoint.
+	// Canceled means that the caller canceled the request; it says nothing
+	// about the endpoint.
 	Canceled
 )
 
-// Result is how a granted request ended.
+// Result describes how a granted request ended.
 type Result struct {
-	// Kind says how.
+	// Kind is the way in which it ended.
 	Kind ResultKind
 	// Latency is the time from the grant to the end.
 	Latency time.Duration
 }
 
-// learn takes in what a request showed of its endpoint.
-func (g *Group) learn(now time.Time, e *endpoint, r Result) {
+// recordResult updates the endpoint and the latency window by the result of a
+// request.
+func (g *Group) recordResult(now time.Time, e *endpoint, r Result) {
 	switch r.Kind {
 	case OK:
 		g.latency.Add(r.Latency)
-		e.succeed(now, r.Latency, g.peerLatency(e))
+		e.recordSuccess(now, r.Latency, g.peerLatency(e))
 	case Shed:
-		e.shed(now)
+		e.recordShed(now)
 	case Failed:
-		e.fail(now)
+		e.recordFailure(now)
 	case Timeout:
-		e.sample(now, r.Latency)
-		e.fail(now)
+		e.recordLatency(now, r.Latency)
+		e.recordFailure(now)
 	case Canceled:
 	}
 }
 
-func (e *endpoint) sample(now time.Time, latency time.Duration) {
+func (e *endpoint) recordLatency(now time.Time, latency time.Duration) {
 	value := float64(max(latency, 1))
-	if e.latency == 0 || now.Sub(e.lastSample) > retrySlowAfter {
+	if e.latency == 0 || now.Sub(e.lastSample) > slownessTTL {
 		e.latency = value
 	}
 	e.latency += latencyWeight * (value - e.latency)
@@ -58,39 +59,39 @@
 	e.lastSample = now
 }
 
-func (e *endpoint) succeed(now time.Time, latency time.Duration, peers float64) {
-	e.sample(now, latency)
+func (e *endpoint) recordSuccess(now time.Time, latency time.Duration, peerLatency float64) {
+	e.recordLatency(now, latency)
 	e.success += successWeight * (1 - e.success)
 	e.failures = 0
 	e.sheds = 0
 	e.ejections = 0
-	if peers > 0 && e.samples >= minSamples && e.latency > verySlowFactor*peers {
-		e.learned = max(1, e.learned*shrink)
+	if peerLatency > 0 && e.samples >= minSamples && e.latency > verySlowFactor*peerLatency {
+		e.learnedSlots = max(1, e.learnedSlots*slowShrink)
 		return
 	}
-	e.learned = min(float64(e.announced), e.learned+growth)
+	e.learnedSlots = min(float64(e.announcedSlots), e.learnedSlots+slotGrowth)
 }
 
-func (e *endpoint) shed(now time.Time) {
-	e.learned = max(1, min(e.learned, float64(e.inFlight+1))*shedShrink)
-	pause := min(shedPause<<min(e.sheds, 16), shedPauseMost)
-	e.pausedTill = now.Add(pause)
+func (e *endpoint) recordShed(now time.Time) {
+	e.learnedSlots = max(1, min(e.learnedSlots, float64(e.inFlight+1))*shedShrink)
+	pause := min(minShedPause<<min(e.sheds, 16), maxShedPause)
+	e.pausedUntil = now.Add(pause)
 	e.sheds++
 }
 
-func (e *endpoint) fail(now time.Time) {
+func (e *endpoint) recordFailure(now time.Time) {
 	e.success -= successWeight * e.success
 	e.failures++
-	if e.failures < failuresToEject {
+	if e.failures < maxConsecutiveFailures {
 		return
 	}
-	pause := min(ejectFirst<<min(e.ejections, 16), ejectMost)
-	e.ejectTill = now.Add(pause)
+	pause := min(minEjection<<min(e.ejections, 16), maxEjection)
+	e.ejectedUntil = now.Add(pause)
 	e.ejections++
 }
 
-// peerLatency is the median latency of the other endpoints that have samples;
-// 0 when there is none.
+// peerLatency returns the median latency of the other endpoints with at least
+// minSamples samples; 0 if there are none.
 func (g *Group) peerLatency(e *endpoint) float64 {
 	g.scratch = g.scratch[:0]
 	for _, other := range g.endpoints {
@@ -101,7 +102,7 @@
 	return median(g.scratch)
 }
 
-// median sorts values and returns the lower median; 0 when there is none.
+// median sorts values and returns the lower median; 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/core/admission/liveness.go
+++ b/internal/core/admission/liveness.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// lateAfter is the age of the last announcement from which an endpoint
-	// counts as late. Endpoints announce about every second.
+	// lateAfter is the age of the last announcement above which an endpoint
+	// counts as late. Endpoints announce themselves about every second.
 	lateAfter = 1600 * time.Millisecond
-	// maxTombstones bounds the endpoints that are remembered after they went.
+	// maxTombstones bounds the remembered endpoints that are gone.
 	maxTombstones = 4096
-	// forgetEvery is the time between two looks for endpoints to forget.
-	forgetEvery = time.Second
-	// maxTick bounds the time that slow start counts for one tick, so that a
-	// stall doesn't warm anything.
-	maxTick = 100 * time.Millisecond
+	// tombstoneCheckInterval is the time between two removals of old
+	// tombstones.
+	tombstoneCheckInterval = time.Second
+	// maxSlowStartStep bounds the time that counts for slow start in one
+	// tick, so that endpoints don't warm up by a stall of this process.
+	maxSlowStartStep = 100 * time.Millisecond
 )
 
-// insert puts an endpoint in use, keeping the order by ID.
+// insert puts an endpoint into use and keeps the order by ID.
 func (g *Group) insert(e *endpoint) {
 	at, _ := slices.BinarySearchFunc(g.endpoints, e.id, compareID)
 	g.endpoints = slices.Insert(g.endpoints, at, e)
 }
 
-// remove takes an endpoint out of use and remembers it.
-func (g *Group) remove(now time.Time, e *endpoint) {
-	g.drop(e)
+// retire takes an endpoint out of use and keeps it as a tombstone.
+func (g *Group) retire(now time.Time, e *endpoint) {
+	g.takeOut(e)
 	e.gone = true
 	e.goneAt = now
 }
 
-// drop takes an endpoint out of use.
-func (g *Group) drop(e *endpoint) {
+// takeOut takes an endpoint out of use.
+func (g *Group) takeOut(e *endpoint) {
 	at, found := slices.BinarySearchFunc(g.endpoints, e.id, compareID)
 	if found && g.endpoints[at] == e {
 		g.endpoints = slices.Delete(g.endpoints, at, at+1)
@@ -42,42 +43,43 @@
 
 func compareID(e *endpoint, id string) int { return strings.Compare(e.id, id) }
 
-// expireSilent removes endpoints that went silent. When over half of them are
-// late at once, the reports are at fault and the last list is kept; then only
-// those go whose requests fail too.
-func (g *Group) expireSilent(now time.Time) {
+// expireUnresponsive retires endpoints whose announcements have stopped. If
+// more than half of the endpoints are late at once, the delivery of
+// announcements is assumed to be at fault and the last list is kept; then
+// only endpoints are retired whose requests fail too.
+func (g *Group) expireUnresponsive(now time.Time) {
 	late := 0
 	for _, e := range g.endpoints {
-		if now.Sub(e.heard) > lateAfter {
+		if now.Sub(e.lastAnnounced) > lateAfter {
 			late++
 		}
 	}
-	g.blind = 2*late > len(g.endpoints)
+	g.reportsStale = 2*late > len(g.endpoints)
 	for i := len(g.endpoints) - 1; i >= 0; i-- {
 		e := g.endpoints[i]
-		if now.Sub(e.heard) <= g.cfg.SilentAfter {
+		if now.Sub(e.lastAnnounced) <= g.cfg.UnresponsiveAfter {
 			continue
 		}
-		if g.blind && e.failures < failuresToEject {
+		if g.reportsStale && e.failures < maxConsecutiveFailures {
 			continue
 		}
-		g.remove(now, e)
+		g.retire(now, e)
 	}
 }
 
-// forget drops what is remembered of endpoints that went long ago.
-func (g *Group) forget(now time.Time) {
+// removeTombstones removes old and excess tombstones.
+func (g *Group) removeTombstones(now time.Time) {
 	for id, e := range g.byID {
-		if e.gone && now.Sub(e.goneAt) > g.cfg.ForgetAfter {
+		if e.gone && now.Sub(e.goneAt) > g.cfg.TombstoneTTL {
 			delete(g.byID, id)
 		}
 	}
 	for len(g.byID)-len(g.endpoints) > maxTombstones {
-		g.forgetOldest()
+		g.removeOldestTombstone()
 	}
 }
 
-func (g *Group) forgetOldest() {
+func (g *Group) removeOldestTombstone() {
 	var oldest *endpoint
 	for _, e := range g.byID {
 		if e.gone && (oldest == nil || e.goneAt.Before(oldest.goneAt)) {
@@ -89,9 +91,11 @@
 	}
 }
 
-// warmUp grows cold endpoints whose latency stays near their warm peers'.
-func (g *Group) warmUp(elapsed time.Duration) {
-	step := float64(min(elapsed, maxTick)) / float64(g.cfg.SlowStart)
+// advanceSlowStart raises the allowed slots of cold endpoints whose latency
+// is close to that of their warm peers. Without any warm peer, cold endpoints
+// get all their slots.
+func (g *Group) advanceSlowStart(elapsed time.Duration) {
+	step := float64(min(elapsed, maxSlowStartStep)) / float64(g.cfg.SlowStart)
 	step *= 1 - g.cfg.SlowStartFloor
 	warm := g.warmLatency()
 	anyWarm := g.anyWarm()
@@ -99,7 +103,7 @@
 		switch {
 		case e.warm >= 1:
 		case !anyWarm:
-			e.warm = 1 // nobody else could serve instead
+			e.warm = 1 // no warm endpoint could serve instead
 		case warm > 0 && e.latency > 2*slowFactor*warm:
 		default:
 			e.warm = min(1, e.warm+step)
@@ -107,14 +111,15 @@
 	}
 }
 
-// anyWarm says whether some usable endpoint has all its slots.
+// anyWarm reports whether a usable endpoint has completed its slow start.
 func (g *Group) anyWarm() bool {
 	return slices.ContainsFunc(g.endpoints, func(e *endpoint) bool {
 		return e.usable() && e.warm >= 1
 	})
 }
 
-// warmLatency is the median latency of the endpoints that are warm.
+// warmLatency is the median latency of the warm endpoints with enough
+// samples.
 func (g *Group) warmLatency() float64 {
 	g.scratch = g.scratch[:0]
 	for _, e := range g.endpoints {
--- a/internal/core/admission/main_test.go
+++ b/internal/core/admission/main_test.go
@@ -6,7 +6,7 @@
 	"sassafrasreach/internal/testseed"
 )
 
-// TestMain fixes the seed of property tests; the command line may change it.
+// TestMain fixes the seed of property tests; flags may change it.
 func TestMain(m *testing.M) {
 	testseed.Main(m, testseed.Settings{Seed: 1})
 }
--- a/internal/core/admission/property_test.go
+++ b/internal/core/admission/property_test.go
@@ -11,37 +11,37 @@
 	"sassafrasreach/internal/port"
 )
 
-// model checks a group against what was announced, offered and cancelled.
+// model checks a group against what was announced, offered and canceled.
 type model struct {
-	t         *rapid.T
-	g         *admission.Group
-	now       time.Time
-	nextID    uint64
-	sequence  uint64
-	live      map[string]admission.Announcement // newest ready report
-	left      map[string]uint64                 // highest incarnation that left
-	inFlight  map[string]int                    // per endpoint and incarnation
-	flights   map[uint64]string
-	queued    map[uint64]bool
-	withdrawn map[uint64]bool // cancelled or expired
+	t               *rapid.T
+	g               *admission.Group
+	now             time.Time
+	nextID          uint64
+	sequence        uint64
+	newest          map[string]admission.Announcement // newest announcement
+	leftIncarnation map[string]uint64                 // highest incarnation that announced Leaving
+	inFlight        map[string]int                    // by endpoint and incarnation
+	running         map[uint64]string
+	queued          map[uint64]bool
+	withdrawn       map[uint64]bool // refused, canceled or expired
 }
 
 func key(id string, incarnation uint64) string { return fmt.Sprintf("%s/%d", id, incarnation) }
 
 func (m *model) granted(ticket uint64, to port.Endpoint) {
 	if m.withdrawn[ticket] {
-		m.t.Fatalf("ticket %d granted after it was cancelled or expired", ticket)
+		m.t.Fatalf("ticket %d granted after it was refused, canceled or expired", ticket)
 	}
-	if to.Incarnation <= m.left[to.ID] {
+	if to.Incarnation <= m.leftIncarnation[to.ID] {
 		m.t.Fatalf("ticket %d granted to %v, which left", ticket, to)
 	}
 	k := key(to.ID, to.Incarnation)
 	m.inFlight[k]++
-	if slots := m.live[to.ID].Slots; m.inFlight[k] > slots {
+	if slots := m.newest[to.ID].Slots; m.inFlight[k] > slots {
 		m.t.Fatalf("%d requests on %v, which has %d slots", m.inFlight[k], to, slots)
 	}
 	delete(m.queued, ticket)
-	m.flights[ticket] = k
+	m.running[ticket] = k
 }
 
 func (m *model) grants(grants []admission.Grant) {
@@ -65,14 +65,14 @@
 		a.Sequence = uint64(rapid.IntRange(0, int(m.sequence)).Draw(t, "sequence"))
 	}
 	m.g.Announce(m.now, a)
-	if a.State == admission.Leaving && a.Incarnation >= m.live[id].Incarnation {
-		m.left[id] = max(m.left[id], a.Incarnation)
+	if a.State == admission.Leaving && a.Incarnation >= m.newest[id].Incarnation {
+		m.leftIncarnation[id] = max(m.leftIncarnation[id], a.Incarnation)
 	}
-	last, ok := m.live[id]
+	last, ok := m.newest[id]
 	newer := a.Incarnation > last.Incarnation ||
 		a.Incarnation == last.Incarnation && a.Sequence > last.Sequence
 	if !ok || newer {
-		m.live[id] = a
+		m.newest[id] = a
 	}
 }
 
@@ -98,11 +98,11 @@
 }
 
 func (m *model) done(t *rapid.T) {
-	for id, k := range m.flights { // any order: the draw below decides the result
-		if id != m.lowestFlight() {
+	for id, k := range m.running { // only the lowest ID, so that runs are reproducible
+		if id != m.lowestRunning() {
 			continue
 		}
-		delete(m.flights, id)
+		delete(m.running, id)
 		m.inFlight[k]--
 		r := admission.Result{
 			Kind:    admission.ResultKind(rapid.IntRange(0, 4).Draw(t, "kind")),
@@ -113,11 +113,11 @@
 	}
 }
 
-func (m *model) lowestFlight() uint64 { return lowest(m.flights) }
+func (m *model) lowestRunning() uint64 { return lowest(m.running) }
 
-func lowest[V any](set map[uint64]V) uint64 {
+func lowest[V any](requests map[uint64]V) uint64 {
 	least := ^uint64(0)
-	for id := range set {
+	for id := range requests {
 		least = min(least, id)
 	}
 	return least
@@ -153,20 +153,22 @@
 	}
 }
 
-// TestGroupKeepsItsPromises runs random interleavings of announcements (also
-// late and crossed ones), offers, ends, cancels, losses and the passing of time.
-func TestGroupKeepsItsPromises(t *testing.T) {
+// TestGroupInvariants guards against grants beyond the slots, to leaving
+// endpoints and of canceled requests. It runs random interleavings of
+// announcements (also delayed and reordered ones), offers, results,
+// cancellations and the passing of time.
+func TestGroupInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
-			t:         t,
-			g:         admission.NewGroup(admission.Config{ReservePercent: 30}),
-			now:       time.Unix(1_800_000_000, 0),
-			live:      map[string]admission.Announcement{},
-			left:      map[string]uint64{},
-			inFlight:  map[string]int{},
-			flights:   map[uint64]string{},
-			queued:    map[uint64]bool{},
-			withdrawn: map[uint64]bool{},
+			t:               t,
+			g:               admission.NewGroup(admission.Config{ReservePercent: 30}),
+			now:             time.Unix(1_800_000_000, 0),
+			newest:          map[string]admission.Announcement{},
+			leftIncarnation: map[string]uint64{},
+			inFlight:        map[string]int{},
+			running:         map[uint64]string{},
+			queued:          map[uint64]bool{},
+			withdrawn:       map[uint64]bool{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"announce": m.announce,
