--- a/internal/core/admission/announcement.go
+++ b/internal/core/admission/announcement.go
@@ -72,7 +72,7 @@
 		g.firstAnnounced = now
 	}
 	if now.Sub(g.firstAnnounced) < g.cfg.UnresponsiveAfter {
-		e.warm = 1 // a new owner's first endpoints have long been running
+		e.warm = 1 // the first endpoints of a new owner are assumed to have run long
 	}
 	g.byID[a.ID] = e
 	g.insert(e)
--- a/internal/core/admission/choose.go
+++ b/internal/core/admission/choose.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// choose returns the endpoint that gets the next request, or nil if none has
-// a free slot. Ejected endpoints are skipped, unless more than half are
-// ejected: then the cause is something that they share, not the endpoints.
+// choose returns the endpoint that gets the next request, or nil if none is
+// available. Ejected endpoints are skipped, unless more than half are ejected:
+// then the cause is assumed to be something that they share, not the
+// endpoints.
 func (g *Group) choose(now time.Time, exclude []string) *endpoint {
 	ignoreEjections := g.mostlyEjected(now)
 	peerLatency := g.groupLatency()
--- a/internal/core/admission/config.go
+++ b/internal/core/admission/config.go
@@ -25,8 +25,8 @@
 	// ReservePercent is the part of the group's slots that spilled-in
 	// requests may not use; 0 to 100.
 	ReservePercent int
-	// MaxSlots bounds the slots that count of one endpoint's announcement; 0
-	// sets no bound.
+	// MaxSlots bounds the slots of one endpoint; if it announces more, only
+	// MaxSlots count. 0 sets no bound.
 	MaxSlots int
 	// UnresponsiveAfter is the time without an announcement after which an
 	// endpoint is taken out of use.
--- a/internal/core/admission/endpoint.go
+++ b/internal/core/admission/endpoint.go
@@ -26,7 +26,7 @@
 	// verySlowFactor is the multiple above which an endpoint loses slots.
 	verySlowFactor = 3
 	// slowShrink multiplies the learned slots of a very slow endpoint, per
-	// sample.
+	// success.
 	slowShrink = 0.95
 	// shedShrink multiplies the learned slots after a shed.
 	shedShrink = 0.7
@@ -116,7 +116,8 @@
 	e.learnedSlots = min(e.learnedSlots, float64(slots))
 }
 
-// restartSlowStart makes the endpoint cold again.
+// restartSlowStart makes the endpoint cold again and ends its pause and
+// ejection.
 func (e *endpoint) restartSlowStart(cfg Config) {
 	e.warm = cfg.SlowStartFloor
 	e.failures = 0
@@ -165,9 +166,10 @@
 }
 
 // cost ranks endpoints; the one with the lowest cost gets the next request.
-// An idle endpoint with too few samples comes first, with one request at a
-// time: as long as its peers have no samples, a slow endpoint can't be
-// distinguished from a fast one.
+// An idle endpoint with too few samples, and without failures or sheds since
+// its last success, comes first, with one request at a time: as long as its
+// peers have no samples, a slow endpoint can't be distinguished from a fast
+// one.
 func (e *endpoint) cost(now time.Time, peerLatency float64) float64 {
 	utilization := float64(e.inFlight+1) / float64(e.slots())
 	if e.samples < minSamples {
--- a/internal/core/admission/faults_test.go
+++ b/internal/core/admission/faults_test.go
@@ -21,8 +21,8 @@
 	slots     int // announced; 3 when 0
 	latency   time.Duration
 	kind      admission.ResultKind
-	failEvery int // only every n-th request ends with kind; 0 means all
-	stopped   bool
+	failEvery int  // only every n-th request ends with kind; 0 means all
+	stopped   bool // sends no announcements, but still runs requests
 }
 
 // harness drives a group with fake endpoints in steps of 10 ms.
@@ -35,7 +35,7 @@
 	pending  map[uint64]pendingEnd
 	received map[string]int // requests per endpoint
 	refused  int
-	timeout  time.Duration
+	timeout  time.Duration // from an offer to its deadline
 }
 
 type pendingEnd struct {
--- a/internal/core/admission/group.go
+++ b/internal/core/admission/group.go
@@ -154,8 +154,8 @@
 	return g.own.cancel(id) || g.spilled.cancel(id)
 }
 
-// Done ends a granted request, records its result, and returns the queued
-// requests that are granted by it. An unknown ID changes nothing.
+// Done ends a granted request, records its result, and returns the grants of
+// queued requests that get a slot then. An unknown ID changes nothing.
 func (g *Group) Done(now time.Time, id uint64, r Result) []Grant {
 	f, ok := g.running[id]
 	if !ok {
@@ -245,7 +245,8 @@
 }
 
 // canMeetDeadline estimates whether a request that is queued now ends before
-// its deadline.
+// its deadline. It is false as well if the queue is full or the expected wait
+// is above the limit for own or spilled-in requests.
 func (g *Group) canMeetDeadline(now time.Time, t Ticket) bool {
 	waiting := g.own.len() + g.spilled.len()
 	if waiting >= g.cfg.MaxQueue {
--- a/internal/core/admission/latency.go
+++ b/internal/core/admission/latency.go
@@ -36,11 +36,11 @@
 	cached   [2]cachedQuantile
 }
 
-// cachedQuantile is the value of a quantile at an earlier number of samples.
+// cachedQuantile holds a quantile as it was last computed.
 type cachedQuantile struct {
 	q     float64
 	value time.Duration
-	stale int // samples added since
+	stale int // samples added since then
 }
 
 // NewLatencyWindow returns a window without samples.
@@ -70,7 +70,7 @@
 // Quantile returns the latency that the part q (0 to 1) of the samples
 // doesn't exceed, rounded up by at most a tenth; 0 without samples. The
 // quantiles 0.5 and 0.9, which admission uses for each request, are cached
-// and may lag by a few samples.
+// and may lag by about a sixteenth of the samples.
 func (w *LatencyWindow) Quantile(q float64) time.Duration {
 	for i := range w.cached {
 		c := &w.cached[i]
--- a/internal/core/admission/liveness.go
+++ b/internal/core/admission/liveness.go
@@ -16,7 +16,7 @@
 	// tombstones.
 	tombstoneCheckInterval = time.Second
 	// maxSlowStartStep bounds the time that counts for slow start in one
-	// tick, so that endpoints don't warm up by a stall of this process.
+	// tick, so that a stall of this process doesn't end a slow start early.
 	maxSlowStartStep = 100 * time.Millisecond
 )
 
@@ -91,9 +91,9 @@
 	}
 }
 
-// advanceSlowStart raises the allowed slots of cold endpoints whose latency
-// is close to that of their warm peers. Without any warm peer, cold endpoints
-// get all their slots.
+// advanceSlowStart raises the allowed slots of cold endpoints, except those
+// whose latency is above 2*slowFactor times that of their warm peers. Without
+// any warm peer, cold endpoints get all their slots.
 func (g *Group) advanceSlowStart(elapsed time.Duration) {
 	step := float64(min(elapsed, maxSlowStartStep)) / float64(g.cfg.SlowStart)
 	step *= 1 - g.cfg.SlowStartFloor
--- a/internal/core/admission/property_test.go
+++ b/internal/core/admission/property_test.go
@@ -21,7 +21,7 @@
 	newest          map[string]admission.Announcement // newest announcement
 	leftIncarnation map[string]uint64                 // highest incarnation that announced Leaving
 	inFlight        map[string]int                    // by endpoint and incarnation
-	running         map[uint64]string
+	running         map[uint64]string                 // key of the endpoint, by ticket
 	queued          map[uint64]bool
 	withdrawn       map[uint64]bool // refused, canceled or expired
 }
--- a/internal/core/dispatch/choose.go
+++ b/internal/core/dispatch/choose.go
@@ -58,9 +58,12 @@
 		(len(a.Homes) == 0 || slices.Contains(a.Homes, s.region))
 }
 
-// choose returns the endpoint with the earliest expected answer, or nil if
-// none is eligible. The endpoint may have no free slot: then waiting for one
-// is expected to be faster than running elsewhere.
+// choose returns the endpoint of the least cost for an ask, or nil if there is
+// none. An unused endpoint is preferred without comparison, and so is one that
+// keeps the object warm if it is healthy and has a free slot, or if maxCopies
+// endpoints keep the object. The endpoint may have no free slot: then the ask
+// is to wait for one, because a run elsewhere is expected to end later or
+// would exceed maxCopies.
 func (p *Pool) choose(now time.Time, svc *service, a Ask) *server {
 	if s := svc.unusedEndpoint(now, a); s != nil {
 		return s
@@ -87,9 +90,9 @@
 	return other
 }
 
-// unusedEndpoint returns an endpoint that has joined and was granted no slot
-// yet. It is preferred for the least urgent asks, so that added capacity is
-// used.
+// unusedEndpoint returns an endpoint of the own region that has joined and got
+// no request yet; nil if there is none. It is preferred for the least urgent
+// asks, so that added capacity is used.
 func (svc *service) unusedEndpoint(now time.Time, a Ask) *server {
 	if svc.firstServed.IsZero() || now.Sub(svc.firstServed) < preferUnusedAfter || a.Priority < svc.leastUrgent {
 		return nil
@@ -120,7 +123,7 @@
 }
 
 // rank orders the endpoints by the cost of a new object and sums up their
-// slots, so that an ask need not scan all endpoints of a large pool.
+// slots, so that an ask need not compare all endpoints of a large pool.
 func (svc *service) rank(now time.Time) {
 	k := &kind{cold: svc.slotTime}
 	svc.slots, svc.free = 0, 0
@@ -142,10 +145,11 @@
 	})
 }
 
-// cheapest compares the best ranked endpoints at which the object isn't warm,
-// and returns one of about the least cost, and that cost. Rendezvous hashing
-// decides among endpoints of about the same cost, so that a new dispatcher
-// without any record finds the object where the previous one placed it.
+// cheapest compares the best ranked endpoints at which the object isn't warm.
+// It returns one of about the least cost, and the least cost. Rendezvous
+// hashing decides among endpoints of about the same cost, so that a new
+// dispatcher without any record finds the object where the previous one
+// placed it.
 func (svc *service) cheapest(now time.Time, a Ask, allowed func(*server) bool) (*server, float64) {
 	k, object := svc.kind(a), a.object()
 	least := math.Inf(1)
--- a/internal/core/dispatch/lend.go
+++ b/internal/core/dispatch/lend.go
@@ -85,13 +85,14 @@
 	m.last = now
 }
 
-// add counts a request that uses a slot for the given time in seconds.
+// add counts a request that needs a slot for the given time in seconds.
 func (m *loadMeter) add(now time.Time, seconds float64) {
 	m.decay(now)
 	m.sum += seconds
 }
 
-// slots returns the average number of slots in use at the same time.
+// slots returns the average number of slots that the counted requests need at
+// the same time.
 func (m *loadMeter) slots(now time.Time) float64 {
 	m.decay(now)
 	seen := 1 - math.Exp(-now.Sub(m.start).Seconds()/loadWindow.Seconds())
--- a/internal/core/dispatch/lend_test.go
+++ b/internal/core/dispatch/lend_test.go
@@ -34,10 +34,12 @@
 // lendingSystem holds the pools of all regions, which exchange loads and
 // loans every 300 ms.
 type lendingSystem struct {
-	pools    map[string]*dispatch.Pool
-	now      time.Time
-	loans    []dispatch.Loan
-	runs     []regionRun
+	pools map[string]*dispatch.Pool
+	now   time.Time
+	loans []dispatch.Loan
+	runs  []regionRun
+	// arrivals is the number of requests due by region; the fraction is
+	// carried to the next step.
 	arrivals map[string]float64
 	// grantCounts counts grants by the region of the request, by window of
 	// 2 s and by the region of the endpoint.
--- a/internal/core/dispatch/policies_test.go
+++ b/internal/core/dispatch/policies_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// atRandom and leastInFlight are common policies that need no shared view of
-// the endpoints.
+// atRandom and leastInFlight are common policies for clients without a
+// dispatcher.
 func atRandom() func(b *baseline) int {
 	random := rand.New(rand.NewPCG(5, 6))
 	return func(b *baseline) int { return random.IntN(len(b.busy)) }
@@ -87,9 +87,9 @@
 func (b *baseline) Tick(time.Time) []dispatch.Decision { return nil }
 
 // TestPolicies guards against a pool that serves fewer requests within the
-// target than common policies do on the same requests. It must serve at least
-// as many under each load, within 0.01 of the share, and at least twice as
-// many when the offered load exceeds the capacity of cold runs.
+// target than common policies do on the same sequence of requests. It must
+// serve at least as many under each load, within 0.01 of the share, and at
+// least twice as many when the offered load exceeds the capacity of cold runs.
 func TestPolicies(t *testing.T) {
 	usual := workload{
 		endpoints: 8, slots: 9, capacity: 30, objects: 150, perSecond: 60, duration: 30 * time.Second,
--- a/internal/core/dispatch/pool.go
+++ b/internal/core/dispatch/pool.go
@@ -42,7 +42,7 @@
 	// nextReconsidered is the queue position, modulo the queue's length,
 	// where the next tick continues to reconsider asks.
 	nextReconsidered int
-	// servedBy lists the endpoints whose memory holds an object.
+	// servedBy lists, by object, the endpoints whose memory holds it.
 	servedBy map[string][]*server
 	queue    []queuedAsk
 	// queuedForAny counts the queued asks without a preferred endpoint.
--- a/internal/core/dispatch/queue.go
+++ b/internal/core/dispatch/queue.go
@@ -76,9 +76,10 @@
 	return out
 }
 
-// processQueue grants or refuses the asks that may not wait any longer and
-// reconsiders some of the others, since their best endpoint may have changed.
-// Asks without a preferred endpoint, or whose preferred endpoint is no longer
+// processQueue grants the asks whose preferred endpoint has a free slot, and
+// grants or refuses those that may not wait any longer. Before that it
+// reconsiders some asks, since their best endpoint may have changed. Asks
+// without a preferred endpoint, or whose preferred endpoint is no longer
 // usable, are reconsidered on each call.
 func (p *Pool) processQueue(now time.Time, svc *service) []Decision {
 	var out []Decision
--- a/internal/core/dispatch/retry.go
+++ b/internal/core/dispatch/retry.go
@@ -27,7 +27,7 @@
 type retries struct {
 	bucketStart time.Time
 	requests    [retryBuckets]int
-	sends       [retryBuckets]int
+	retried     [retryBuckets]int
 	current     int
 }
 
@@ -45,7 +45,7 @@
 		}
 		r.bucketStart = r.bucketStart.Add(step)
 		r.current = (r.current + 1) % retryBuckets
-		r.requests[r.current], r.sends[r.current] = 0, 0
+		r.requests[r.current], r.retried[r.current] = 0, 0
 	}
 	r.bucketStart = now // no request for a whole window
 }
@@ -59,14 +59,14 @@
 // take counts a retry and returns true if the budget allows it.
 func (r *retries) take(now time.Time, b RetryBudget) bool {
 	r.advance(now, b)
-	requests, sends := 0, 0
+	requests, retried := 0, 0
 	for i := range retryBuckets {
 		requests += r.requests[i]
-		sends += r.sends[i]
+		retried += r.retried[i]
 	}
-	if float64(sends+1) > retryBudgetUse*(b.Ratio*float64(requests)+b.Extra) {
+	if float64(retried+1) > retryBudgetUse*(b.Ratio*float64(requests)+b.Extra) {
 		return false
 	}
-	r.sends[r.current]++
+	r.retried[r.current]++
 	return true
 }
--- a/internal/core/dispatch/retry_test.go
+++ b/internal/core/dispatch/retry_test.go
@@ -24,7 +24,7 @@
 	for i := range 10 {
 		pool.Learn(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: 9, Born: 1, Heard: now})
 	}
-	var sends []time.Time
+	var retries []time.Time
 	requests := 0
 	for i := range 4000 { // 100 requests a second
 		now = now.Add(10 * time.Millisecond)
@@ -44,15 +44,15 @@
 			continue
 		}
 		pool.Release(now, second.Grant, dispatch.Refused, 0)
-		sends = append(sends, now)
+		retries = append(retries, now)
 	}
 	perWindow := int(budget.Ratio*100*budget.Window.Seconds() + budget.Extra)
-	for i := range sends {
+	for i := range retries {
 		j := i
-		for j < len(sends) && sends[j].Sub(sends[i]) < budget.Window {
+		for j < len(retries) && retries[j].Sub(retries[i]) < budget.Window {
 			j++
 		}
 		is.True(j-i <= perWindow)
 	}
-	is.True(len(sends) > perWindow) // the budget is used
+	is.True(len(retries) > perWindow) // the budget is used
 }
--- a/internal/core/dispatch/server.go
+++ b/internal/core/dispatch/server.go
@@ -27,7 +27,8 @@
 	slowness float64
 	// failures is the moving average of the share of failed requests.
 	failures float64
-	// connectFailures counts consecutive failures to connect.
+	// connectFailures counts the failures to connect since the last served
+	// request.
 	connectFailures int
 	// pausedUntil is the time from which the endpoint may be used again.
 	pausedUntil time.Time
--- a/internal/core/dispatch/shift.go
+++ b/internal/core/dispatch/shift.go
@@ -7,7 +7,8 @@
 
 const (
 	// shiftDrift is the part of the limit by which a level may move per
-	// second. Consecutive windows are two seconds long each.
+	// second. The limit holds for the change between two consecutive windows
+	// of two seconds each.
 	shiftDrift = 0.32
 	// shiftSlack is the part of the limit by which the share of the runs may
 	// exceed its level.
@@ -33,7 +34,8 @@
 	maxShift  float64
 	levels    map[string]*shiftLevel
 	lastCount time.Time
-	// learnUntil is the time until which the meter only learns.
+	// learnUntil is the time until which the meter sets no limit and only
+	// follows the recent shares.
 	learnUntil time.Time
 }
 
--- a/internal/core/dispatch/types.go
+++ b/internal/core/dispatch/types.go
@@ -101,8 +101,8 @@
 	Region   string
 	RegionOf func(zone string) string
 	Way      func(region string) time.Duration
-	// MaxShift limits the share of the requests whose region may change from
-	// one window to the next; 0 sets no limit.
+	// MaxShift limits the share of the requests that may change the region in
+	// which they run from one window to the next; 0 sets no limit.
 	MaxShift float64
 }
 
@@ -114,12 +114,13 @@
 	// The release of a request that timed out may still be in transit.
 	graceAfterDeadline = time.Second
 	// unreachablePause is how long an unreachable endpoint gets no requests.
-	// It doubles with each consecutive failure up to unreachablePauseMax,
-	// within which a live endpoint has announced itself again.
+	// It doubles with each further failure to connect, until a request is
+	// served, up to unreachablePauseMax, within which a live endpoint has
+	// announced itself again.
 	unreachablePause    = 300 * time.Millisecond
 	unreachablePauseMax = 2400 * time.Millisecond
-	// maxConnectFailures is the number of consecutive failures to connect
-	// after which an endpoint no longer counts as capacity.
+	// maxConnectFailures is the number of failures to connect since the last
+	// served request after which an endpoint no longer counts as capacity.
 	maxConnectFailures = 3
 	// fullPause is how long an endpoint gets no requests after it refused one
 	// while all its slots were in use.
@@ -145,9 +146,10 @@
 	// without this, the few slots of some endpoints would be full while
 	// others were idle.
 	balanceWeight = 0.25
-	// maxCopies is the number of endpoints that keep an object warm from
-	// which on it is not placed at another. Each copy evicts another object,
-	// whose next run takes several times as long.
+	// maxCopies limits the endpoints that keep the same object warm. Once so
+	// many do, the object is not placed at another one by choice. Each copy
+	// evicts another object, and its first run, a cold one, takes several
+	// times as long.
 	maxCopies = 2
 	// spareSlotShare is the share of free slots above which a cold run delays
 	// no other request.
@@ -162,8 +164,8 @@
 	// large region uses a whole core under overload.
 	maxCompared     = 48
 	maxReconsidered = 64
-	// preferUnusedAfter is how long a service must have been served before an
-	// endpoint that was granted nothing yet is preferred.
+	// preferUnusedAfter is the time after a service's first served request
+	// from which on an endpoint that got no request yet is preferred.
 	preferUnusedAfter = 2 * time.Second
 	// healthyFailureShare is the share of failures below which an endpoint
 	// that keeps an object warm and has a free slot is chosen without
@@ -181,9 +183,9 @@
 	// slowness, and maxSlownessSample bounds the sample of one answer.
 	slownessSmoothing = 0.1
 	maxSlownessSample = 8.0
-	// coldHoldBack is how long a pool sends nothing to cold endpoints after
-	// it has become the only one that grants them. It covers the second over
-	// which their rate is counted.
+	// coldHoldBack is how long a pool grants no slots of cold endpoints after
+	// it has become the only one that can. It covers the second over which
+	// their rate is counted.
 	coldHoldBack = 1200 * time.Millisecond
 	// retryAfterDivisor bounds Decision.RetryAfter to a part of the time left
 	// before the deadline: clients honor up to a third of it.
--- a/internal/core/dispatch/warm.go
+++ b/internal/core/dispatch/warm.go
@@ -30,8 +30,8 @@
 	return n, true
 }
 
-// touch records a use of an object and returns the object that is evicted for
-// it; empty if none.
+// touch records a use of an object and returns the object whose record is
+// evicted for it; empty if none.
 func (m *memory) touch(object string) (evicted string) {
 	m.count++
 	m.lastUse[object] = m.count
@@ -104,9 +104,9 @@
 // kind holds the statistics of one kind of requests.
 type kind struct {
 	// cold and warm are moving averages of the run times in seconds, without
-	// and with the object warm, at an endpoint of average speed. cold starts
-	// as the target of the kind's first ask; warm is zero before the first
-	// warm run.
+	// and with the object warm, at an endpoint of average speed. They don't
+	// include the round trip to another region. cold starts as the target of
+	// the kind's first ask; warm is zero before the first warm run.
 	cold, warm float64
 }
 
--- a/internal/core/dispatch/warm_test.go
+++ b/internal/core/dispatch/warm_test.go
@@ -156,10 +156,10 @@
 	return out
 }
 
-// TestWarmObjects guards against runs away from warm objects: the offered
-// load exceeds capacity when every run is cold and is well below it when runs
-// are warm. More than four in five requests must be in time, but fewer than
-// half when the pool doesn't know the objects.
+// TestWarmObjects guards against cold runs of objects that are warm at another
+// endpoint: the offered load exceeds capacity when every run is cold and is
+// well below it when runs are warm. More than four in five requests must be in
+// time, but fewer than half when the pool doesn't know the objects.
 func TestWarmObjects(t *testing.T) {
 	s := workload{
 		endpoints: 8, slots: 9, capacity: 40, objects: 100, perSecond: 110,
