--- a/internal/core/steering/crossing.go
+++ b/internal/core/steering/crossing.go
@@ -1,8 +1,10 @@
 package steering
 
-// Crossing returns what a request of a service from origin crosses when it is
-// served at a place: every matching rule and every bounded link. False means
-// that no rule permits it, or that the place is drained for the service.
+// Crossing returns every rule and every bounded link that a request of a service
+// crosses when it moves from origin to the place at. Served at origin itself it
+// crosses none, even if origin is drained. Otherwise, false means that a place
+// is unknown, that no rule permits the request, or that at is drained for the
+// service. False also means that the service is unknown.
 func (t *Table) Crossing(service, origin, at string) (Choice, bool) {
 	s, ok := t.services[service]
 	if !ok {
@@ -21,6 +23,6 @@
 	if len(rules) == 0 {
 		return Choice{}, false
 	}
-	links := t.crossed(t.places[from].region, to.region)
+	links := t.linksCrossed(t.places[from].region, to.region)
 	return Choice{Place: at, Rules: rules, Links: links}, true
 }
