--- a/internal/app/entry/announce.go
+++ b/internal/app/entry/announce.go
@@ -14,11 +14,11 @@
 	"sassafrasreach/internal/wait"
 )
 
-// maxAnnounceSlots bounds what an endpoint may claim.
+// maxAnnounceSlots bounds the slots that an endpoint may announce.
 const maxAnnounceSlots = 100_000
 
-// Announce takes an endpoint's report and passes it to the owner of its group
-// and to the owner's backup.
+// Announce applies an endpoint's announcement and forwards it to the owner of
+// its group and to the owner's backup.
 func (e *Entry) Announce(_ context.Context, a port.Announcement) (port.AnnounceAnswer, error) {
 	s, err := e.current()
 	if err != nil {
@@ -27,8 +27,8 @@
 	if err := checkAnnouncement(s, a); err != nil {
 		return port.AnnounceAnswer{}, err
 	}
-	e.takeAnnouncement(a)
-	e.passAnnouncement(s, a)
+	e.applyAnnouncement(a)
+	e.forwardAnnouncement(s, a)
 	return port.AnnounceAnswer{
 		Entries:        e.announceEntries(s, a.Place),
 		IntervalMillis: announceInterval.Milliseconds(),
@@ -54,14 +54,15 @@
 	return nil
 }
 
-// takeAnnouncement applies a report here. Every entry that hears one keeps it,
-// so that a new owner knows its endpoints.
-func (e *Entry) takeAnnouncement(a port.Announcement) {
+// applyAnnouncement applies an announcement to the tables of this entry. Every
+// entry that receives one keeps it, so that a new owner of a group already
+// knows its endpoints.
+func (e *Entry) applyAnnouncement(a port.Announcement) {
 	now := e.clock.Now()
-	e.suspects.heard(now, a)
+	e.suspects.recordAnnouncement(now, a)
 	key := groupKey{a.Service, a.Place}
 	g := e.groups.get(key, e.admissionConfig)
-	former, replaced := g.announce(now, admission.Announcement{
+	previous, replaced := g.announce(now, admission.Announcement{
 		ID:          a.ID,
 		Incarnation: a.Incarnation,
 		Sequence:    a.Sequence,
@@ -71,12 +72,12 @@
 		State:       admissionState(a.State),
 		Load:        a.Load,
 	})
-	if a.Incarnation > former {
+	if a.Incarnation > previous {
 		event.Log(context.Background(), e.logger, event.EndpointFound,
 			slog.String("endpoint", a.ID), slog.Uint64("incarnation", a.Incarnation))
 	}
 	if replaced {
-		go e.endpointDied(a.ID, former, a.Service)
+		go e.removeDeadEndpoint(a.ID, previous, a.Service)
 	}
 }
 
@@ -91,9 +92,9 @@
 	}
 }
 
-// passAnnouncement queues the report for the owner and its backup. One that
-// leaves is passed on at once.
-func (e *Entry) passAnnouncement(s *snapshot, a port.Announcement) {
+// forwardAnnouncement queues the announcement for the owner and its backup. The
+// announcement of a leaving endpoint is sent at once.
+func (e *Entry) forwardAnnouncement(s *snapshot, a port.Announcement) {
 	now := e.clock.Now()
 	key := groupKey{a.Service, a.Place}
 	owner, okOwner := e.members.owner(now, key)
@@ -106,7 +107,7 @@
 	}
 	if a.State == port.EndpointLeaving {
 		event.Log(context.Background(), e.logger, event.EndpointLeaving, slog.String("endpoint", a.ID))
-		e.outbox.wake()
+		e.outbox.flush()
 	}
 }
 
@@ -118,12 +119,13 @@
 	e.outbox.add(address.peer, a)
 }
 
-// maxAnnounceEntries bounds the entries that an endpoint is told of.
+// maxAnnounceEntries bounds the entries that an endpoint is given to announce
+// to.
 const maxAnnounceEntries = 8
 
 // announceEntries lists the entries that the endpoint may announce to: those of
 // its place, then others of the region, which own its group when its place has
-// lost its entries.
+// no live entry.
 func (e *Entry) announceEntries(s *snapshot, place string) []string {
 	region := s.regions[place].name
 	addresses := e.liveCallers(s, place)
@@ -135,7 +137,7 @@
 	return addresses[:min(len(addresses), maxAnnounceEntries)]
 }
 
-// liveCallers returns the callers' addresses of the live entries of a place.
+// liveCallers returns the caller addresses of the live entries of a place.
 func (e *Entry) liveCallers(s *snapshot, place string) []string {
 	var addresses []string
 	for _, member := range e.members.live(e.clock.Now(), place) {
@@ -154,13 +156,13 @@
 	}
 	for _, a := range batch {
 		if checkAnnouncement(s, a) == nil {
-			e.takeAnnouncement(a)
+			e.applyAnnouncement(a)
 		}
 	}
 }
 
-// tickLoop expires queued requests and silent endpoints: often while requests
-// wait, and seldom otherwise.
+// tickLoop expires queued requests and unresponsive endpoints: each tickPeriod
+// while requests are queued, else each idleTickPeriod.
 func (e *Entry) tickLoop(ctx context.Context) {
 	for {
 		now := e.clock.Now()
@@ -185,21 +187,22 @@
 }
 
 const (
-	// tickPeriod is the time between the expiries of queues.
+	// tickPeriod is the time between expiries while requests are queued.
 	tickPeriod = 20 * time.Millisecond
-	// idleTickPeriod is the time between expiries while nothing waits.
+	// idleTickPeriod is the time between expiries while no request is queued.
 	idleTickPeriod = 250 * time.Millisecond
-	// expirePeriod is the time between the expiries of claims and suspects.
+	// expirePeriod is the time between expiries of claims and suspects.
 	expirePeriod = time.Second
 )
 
-// expireLoop forgets claims and suspects whose time is over.
+// expireLoop removes expired claims and suspects, and presumes unresponsive
+// endpoints dead.
 func (e *Entry) expireLoop(ctx context.Context) {
 	wait.Each(ctx, expirePeriod, func() {
 		now := e.clock.Now()
 		e.claims.expire(now)
-		for _, silent := range e.suspects.expire(now) {
-			go e.takeForDead(silent)
+		for _, unresponsive := range e.suspects.expire(now) {
+			go e.presumeDead(unresponsive)
 		}
 	})
 }
--- a/internal/app/entry/attempts.go
+++ b/internal/app/entry/attempts.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-// attemptMemory is how long the ID of a forwarded attempt is remembered. It is
-// longer than any connection keeps a message.
-const attemptMemory = 30 * time.Second
+// attemptRetention is the least time for which the ID of a forwarded attempt is
+// remembered. It is longer than any connection keeps a message.
+const attemptRetention = 30 * time.Second
 
-// errAttemptRepeated means that the transport delivered one attempt twice.
+// errAttemptRepeated means that the transport delivered an attempt more than
+// once.
 var errAttemptRepeated = errors.New("attempt was delivered before")
 
-// attempts remembers the IDs of forwarded attempts, so that a transport that
-// delivers one twice starts it once. Two generations bound the memory.
+// attempts deduplicates forwarded attempts by ID, so that an attempt that the
+// transport delivers twice is started once. Two generations of IDs bound the
+// memory.
 type attempts struct {
-	mu      sync.Mutex
-	current map[string]struct{}
-	former  map[string]struct{}
-	turned  time.Time
+	mu       sync.Mutex
+	current  map[string]struct{}
+	previous map[string]struct{}
+	rotated  time.Time
 }
 
 func newAttempts() *attempts {
-	return &attempts{current: make(map[string]struct{}), former: make(map[string]struct{})}
+	return &attempts{current: make(map[string]struct{}), previous: make(map[string]struct{})}
 }
 
-// first says whether id is seen for the first time.
-func (a *attempts) first(now time.Time, id string) bool {
+// recordFirst records id and reports whether it was new.
+func (a *attempts) recordFirst(now time.Time, id string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now.Sub(a.turned) > attemptMemory {
-		a.former = a.current
+	if now.Sub(a.rotated) > attemptRetention {
+		a.previous = a.current
 		a.current = make(map[string]struct{})
-		a.turned = now
+		a.rotated = now
 	}
 	_, inCurrent := a.current[id]
-	_, inFormer := a.former[id]
+	_, inPrevious := a.previous[id]
 	a.current[id] = struct{}{}
-	return !inCurrent && !inFormer
+	return !inCurrent && !inPrevious
 }
--- a/internal/app/entry/blame.go
+++ b/internal/app/entry/blame.go
@@ -12,7 +12,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// checkQuarantine refuses a request that is known to crash endpoints.
+// checkQuarantine refuses a request whose fingerprint is in quarantine because
+// it crashed endpoints.
 func (e *Entry) checkQuarantine(req *port.Request) error {
 	if !e.suspects.check(e.clock.Now(), fingerprintOf(req)) {
 		return nil
@@ -20,15 +21,16 @@
 	return verdict.NewError(verdict.NotRun, verdict.ReasonQuarantined, errQuarantined)
 }
 
-// runNotStarted ends a run that was never sent.
-func (e *Entry) runNotStarted(to port.Endpoint, o owned) {
-	e.suspects.ended(e.clock.Now(), to, o, quarantine.NotStarted)
+// recordRunNotStarted ends a run whose request was never sent.
+func (e *Entry) recordRunNotStarted(to port.Endpoint, o ownedRequest) {
+	e.suspects.endRun(e.clock.Now(), to, o, quarantine.NotStarted)
 }
 
-// runEnded records how a run ended. When its connection broke, the other
-// entries are told before the caller is, so that no resend through another
-// entry finds one that doesn't know.
-func (e *Entry) runEnded(to port.Endpoint, o owned, err error) {
+// recordRunEnd records how a run ended. After a broken connection it returns
+// only once the other live entries have acknowledged the change or
+// broadcastTimeout has passed. The caller receives the failure after that, so a
+// resend through another entry is held back there.
+func (e *Entry) recordRunEnd(to port.Endpoint, o ownedRequest, err error) {
 	end := quarantine.Lost
 	switch verdict.Of(err) {
 	case verdict.Ran:
@@ -39,55 +41,59 @@
 	if errors.Is(err, port.ErrConnectionLost) {
 		end = quarantine.Reset
 	}
-	rows := e.noteChange(e.suspects.ended(e.clock.Now(), to, o, end))
+	rows := e.recordChange(e.suspects.endRun(e.clock.Now(), to, o, end))
 	if errors.Is(err, port.ErrConnectionLost) {
-		rows = append(rows, e.blame(to, o.req.Service)...)
+		rows = append(rows, e.probeAfterReset(to, o.req.Service)...)
 	}
 	if end == quarantine.Answered {
-		e.spreadLater(rows) // a lift makes no caller wait
+		e.broadcastLater(rows) // a lift is broadcast in the background, so the caller need not wait
 		return
 	}
-	e.spread(rows)
+	e.broadcast(rows)
 }
 
-// blame checks whether the endpoint that broke a connection is gone.
-func (e *Entry) blame(to port.Endpoint, service string) []port.QuarantineRow {
+// probeAfterReset probes an endpoint that broke a connection and records its
+// death if it refuses connections. It returns the rows to broadcast.
+func (e *Entry) probeAfterReset(to port.Endpoint, service string) []port.QuarantineRow {
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
 	if err := e.endpoints.Probe(ctx, to); !errors.Is(err, port.ErrConnectionRefused) {
 		return nil
 	}
-	return e.died(to.ID, to.Incarnation, service)
+	return e.recordEndpointDeath(to.ID, to.Incarnation, service)
 }
 
-// endpointDied takes an endpoint out of use and tells the other entries of the
-// requests that are blamed for it.
-func (e *Entry) endpointDied(id string, incarnation uint64, service string) {
-	e.spread(e.died(id, incarnation, service))
+// removeDeadEndpoint takes an endpoint out of use and broadcasts the requests
+// to which its death is attributed.
+func (e *Entry) removeDeadEndpoint(id string, incarnation uint64, service string) {
+	e.broadcast(e.recordEndpointDeath(id, incarnation, service))
 }
 
-// died takes an endpoint out of use and blames what ran on it.
-func (e *Entry) died(id string, incarnation uint64, service string) []port.QuarantineRow {
+// recordEndpointDeath takes an endpoint out of use and attributes its death to
+// the requests that ran on it.
+func (e *Entry) recordEndpointDeath(id string, incarnation uint64, service string) []port.QuarantineRow {
 	now := e.clock.Now()
 	for _, g := range e.groups.all() {
 		if g.key.service == service {
-			g.lost(now, id, incarnation)
+			g.markEndpointLost(now, id, incarnation)
 		}
 	}
-	return e.blameFor(now, id, incarnation)
+	return e.attributeDeath(now, id, incarnation)
 }
 
-// takeForDead blames what ran on an endpoint that shows no life any more. It
-// stays in use: admission judges by itself.
-func (e *Entry) takeForDead(silent quarantine.Silent) {
-	e.spread(e.blameFor(e.clock.Now(), silent.Endpoint, silent.Number))
+// presumeDead attributes the death of an unresponsive endpoint to the requests
+// that ran on it. The endpoint stays in use: admission has its own failure
+// detector.
+func (e *Entry) presumeDead(unresponsive quarantine.Silent) {
+	e.broadcast(e.attributeDeath(e.clock.Now(), unresponsive.Endpoint, unresponsive.Number))
 }
 
-// blameFor blames what ran on an endpoint for its death.
-func (e *Entry) blameFor(now time.Time, id string, incarnation uint64) []port.QuarantineRow {
+// attributeDeath attributes the death of an endpoint to the requests that ran
+// on it and returns the rows to broadcast.
+func (e *Entry) attributeDeath(now time.Time, id string, incarnation uint64) []port.QuarantineRow {
 	event.Log(context.Background(), e.logger, event.EndpointDied,
 		slog.String("endpoint", id), slog.Uint64("incarnation", incarnation))
-	rows := e.noteChange(e.suspects.died(now, id, incarnation))
+	rows := e.recordChange(e.suspects.recordDeath(now, id, incarnation))
 	for i := range rows {
 		rows[i].Endpoint = id
 		rows[i].Incarnation = incarnation
@@ -95,21 +101,23 @@
 	return rows
 }
 
-// noteChange logs a change and returns what the other entries are to know.
-func (e *Entry) noteChange(n news) []port.QuarantineRow {
-	if len(n.rows) > 0 {
-		e.logChange(n.Change)
+// recordChange logs and meters a change of the quarantine and returns the rows
+// to broadcast.
+func (e *Entry) recordChange(u quarantineUpdate) []port.QuarantineRow {
+	if len(u.rows) > 0 {
+		e.logQuarantineChange(u.Change)
 		e.meterQuarantined()
 	}
-	return n.rows
+	return u.rows
 }
 
-// meterQuarantined tells the meter how many fingerprints are in quarantine.
+// meterQuarantined reports the number of fingerprints in quarantine to the
+// meter.
 func (e *Entry) meterQuarantined() {
 	e.meter.Quarantined(len(e.suspects.list(e.clock.Now())))
 }
 
-func (e *Entry) logChange(change quarantine.Change) {
+func (e *Entry) logQuarantineChange(change quarantine.Change) {
 	ctx := context.Background()
 	for _, f := range change.Quarantined {
 		event.Log(ctx, e.logger, event.Quarantined, slog.String("fingerprint", f.String()))
--- a/internal/app/entry/body.go
+++ b/internal/app/entry/body.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// closer calls after once, when the body is closed.
+// closer wraps a body and calls after once, when the body is first closed.
 type closer struct {
 	io.ReadCloser
 	once  sync.Once
--- a/internal/app/entry/bootstrap.go
+++ b/internal/app/entry/bootstrap.go
@@ -9,17 +9,19 @@
 	"sassafrasreach/internal/port"
 )
 
-// bootstrap finds the first document of this process: what a control quorum
-// has, or after the grace the newest of what peers and single control VMs have.
+// bootstrap fetches the first document of this process. If a control VM
+// confirms a quorum, it applies the newest version that the control VMs
+// returned, if any. Without a quorum it waits for bootstrapGrace and then
+// applies the newest version that single control VMs and seeds returned.
 func (e *Entry) bootstrap(ctx context.Context) {
-	best, quorum := e.askAllControl(ctx)
+	best, quorum := e.fetchFromAllControl(ctx)
 	if quorum && best.Version > 0 {
 		if e.apply(ctx, best) {
 			e.checkPlace()
 		}
 		return
 	}
-	if quorum || e.clock.Now().Sub(e.pull.started) < cutOffGrace {
+	if quorum || e.clock.Now().Sub(e.pull.started) < bootstrapGrace {
 		return
 	}
 	for _, address := range e.config.Seeds {
@@ -34,17 +36,18 @@
 	}
 }
 
-// checkPlace tells when the document in force doesn't have the entry's place.
+// checkPlace closes the misplaced channel if the document in force doesn't list
+// the entry's place.
 func (e *Entry) checkPlace() {
 	if _, ok := e.snapshot.Load().regions[e.config.Place]; !ok {
 		close(e.misplaced)
 	}
 }
 
-// askAllControl asks every control VM; quorum says that at least one answer
-// comes from a quorum.
-func (e *Entry) askAllControl(ctx context.Context) (best port.Config, quorum bool) {
-	answers := make(chan port.FetchAnswer, len(e.config.Control))
+// fetchFromAllControl queries every control VM and returns the newest version;
+// quorum reports whether a quorum confirmed at least one answer.
+func (e *Entry) fetchFromAllControl(ctx context.Context) (best port.Config, quorum bool) {
+	results := make(chan port.FetchAnswer, len(e.config.Control))
 	var wg sync.WaitGroup
 	for _, address := range e.config.Control {
 		wg.Go(func() {
@@ -52,13 +55,13 @@
 			defer cancel()
 			answer, err := e.control.Fetch(ctx, address, port.FetchQuery{Entries: e.reports(e.clock.Now())})
 			if err == nil {
-				answers <- answer
+				results <- answer
 			}
 		})
 	}
 	wg.Wait()
-	close(answers)
-	for answer := range answers {
+	close(results)
+	for answer := range results {
 		quorum = quorum || answer.Quorum
 		if answer.Config.Version > best.Version {
 			best = answer.Config
--- a/internal/app/entry/cap_test.go
+++ b/internal/app/entry/cap_test.go
@@ -13,7 +13,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// arrivals notes when requests reach endpoints.
+// arrivals records when requests reach endpoints.
 type arrivals struct {
 	mu    sync.Mutex
 	times []time.Time
@@ -25,7 +25,7 @@
 	a.times = append(a.times, time.Now())
 }
 
-// count returns the number of all and the highest within any second.
+// count returns the number of all arrivals and the most within any second.
 func (a *arrivals) count() (all, most int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -39,8 +39,10 @@
 	return len(a.times), most
 }
 
-// TestCapCountsArrivals compares what reaches endpoints in a second with the
-// cap, when requests wait for slots, are tried twice, or take long to connect.
+// TestCapCountsArrivals guards against more requests per second arriving at
+// endpoints than the cap allows. That would happen if a request were counted
+// when it is admitted rather than when it is written, and then waited for a
+// slot or for its connection, or if a second try were not counted.
 func TestCapCountsArrivals(t *testing.T) {
 	const limit = 10
 	cases := []struct {
@@ -54,27 +56,27 @@
 			}
 			return port.Answer{}
 		}, 0},
-		{"tried twice", func(int) port.Answer { return connection.answer }, 0},
+		{"tried twice", func(int) port.Answer { return connectionLost.answer }, 0},
 		{"slow to connect", func(int) port.Answer { return port.Answer{} }, 700 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := settled(t, document.Rule{Name: "r", From: "a", To: "b", RequestsPerS: limit})
+				tc := startTestCluster(t, document.Rule{Name: "r", From: "a", To: "b", RequestsPerS: limit})
 				var seen arrivals
-				w.calls.dial = c.dial
-				w.calls.call = func(n int, _ port.Endpoint) port.Answer {
+				tc.calls.dial = c.dial
+				tc.calls.call = func(n int, _ port.Endpoint) port.Answer {
 					seen.add()
 					return c.call(n)
 				}
 				for range 3 {
 					for range limit {
-						forward := ownerForward(w.request(), groupKey{service, "b"}, false)
-						go func() { _, _ = w.entry("b1").HandleForward(context.Background(), forward) }()
+						forward := newOwnerForward(tc.request(), groupKey{service, "b"}, false)
+						go func() { _, _ = tc.entry("b1").HandleForward(context.Background(), forward) }()
 					}
 					time.Sleep(1100 * time.Millisecond)
 				}
-				time.Sleep(2 * patience)
+				time.Sleep(2 * requestTimeout)
 				is := is.New(t)
 				all, most := seen.count()
 				is.True(all > limit)
--- a/internal/app/entry/claimtable.go
+++ b/internal/app/entry/claimtable.go
@@ -8,26 +8,28 @@
 )
 
 const (
-	// claimRetention is how long a key may be used after its look-up.
+	// claimRetention is how long a key may be used after the look-up that
+	// issued its token.
 	claimRetention = 10 * time.Minute
 	// claimClockSkew bounds the difference between the clocks of two entries.
 	claimClockSkew = 5 * time.Second
-	// maxClaims and maxClaimBytes bound the claims of one entry.
+	// maxClaims and maxClaimBytes bound the number and the memory of the claims
+	// of one entry.
 	maxClaims     = 50_000
 	maxClaimBytes = 32 << 20
 )
 
 // claimTable guards the claims of this incarnation and wakes resends that wait
-// for the outcome of the attempt under way.
+// for the outcome of the attempt in progress.
 type claimTable struct {
-	home claims.Home
+	self claims.Home
 
 	mu      sync.Mutex
 	table   *claims.Table
 	waiting map[string]chan struct{} // closed when the attempt ends
 }
 
-func newClaimTable(home claims.Home) *claimTable {
+func newClaimTable(self claims.Home) *claimTable {
 	config := claims.Config{
 		MaxEntries: maxClaims,
 		MaxBytes:   maxClaimBytes,
@@ -35,13 +37,14 @@
 		ClockSkew:  claimClockSkew,
 	}
 	return &claimTable{
-		home:    home,
-		table:   claims.NewTable(home, config),
+		self:    self,
+		table:   claims.NewTable(self, config),
 		waiting: make(map[string]chan struct{}),
 	}
 }
 
-// begin decides on an attempt; for Wait the channel tells when to ask again.
+// begin decides on an attempt; for Wait the channel is closed when the attempt
+// in progress ends and begin may be called again.
 func (t *claimTable) begin(now time.Time, k claims.Key, f claims.Fingerprint) (claims.Decision, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +58,8 @@
 	return decision, nil
 }
 
-// finish stores the outcome of an attempt and wakes those that wait for it.
+// finish stores the outcome of an attempt and wakes the resends that wait for
+// it.
 func (t *claimTable) finish(now time.Time, k claims.Key, o claims.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +74,7 @@
 	t.table.Expire(now)
 }
 
-// seal makes the table refuse keys that it doesn't know.
+// seal makes the table refuse unknown keys.
 func (t *claimTable) seal() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,7 +87,7 @@
 	return t.table.HandOvers(now)
 }
 
-func (t *claimTable) take(now time.Time, h claims.HandOver) {
+func (t *claimTable) importHandOver(now time.Time, h claims.HandOver) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.Import(now, h.From, h.Rows, h.Complete)
--- a/internal/app/entry/crash_test.go
+++ b/internal/app/entry/crash_test.go
@@ -12,15 +12,16 @@
 	"sassafrasreach/internal/port"
 )
 
-// TestCrashingRequest resends a request that ends each endpoint that runs it,
-// through every entry, a restarted one too. At most two endpoints end, and every
-// entry lists it; again so when it goes on after an operator's lift.
+// TestCrashingRequest guards against a request that crashes each endpoint
+// running it and is resent through every entry, including a restarted one. At
+// most two endpoints may crash, and every entry must list the request. The same
+// holds when it is resent after an operator lifted the quarantine.
 func TestCrashingRequest(t *testing.T) {
 	cases := []struct {
-		name  string
-		probe error // of dead endpoints
-		lose  int   // messages on quarantine to each entry
-		apart bool  // no heartbeats between places
+		name        string
+		probe       error // result for crashed endpoints
+		dropFirst   int   // number of quarantine messages to each entry that are lost
+		partitioned bool  // no heartbeats between places
 	}{
 		{"probes find the deaths", port.ErrConnectionRefused, 0, false},
 		{"probes miss the deaths", nil, 0, false},
@@ -31,67 +32,67 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := settled(t)
-				w.mu.Lock()
-				w.lose, w.apart = c.lose, c.apart
-				w.mu.Unlock()
-				time.Sleep(settle)
-				w.calls.crash(c.probe)
-				req := w.request()
+				tc := startTestCluster(t)
+				tc.mu.Lock()
+				tc.dropFirst, tc.partitioned = c.dropFirst, c.partitioned
+				tc.mu.Unlock()
+				time.Sleep(settleTime)
+				tc.calls.crash(c.probe)
+				req := tc.request()
 				for range 3 {
 					for _, name := range []string{"a1", "a2", "a3", "b1"} {
 						req.Origin = placeOf[name]
-						w.resend(w.entry(name), req)
+						tc.resend(tc.entry(name), req)
 					}
 					time.Sleep(quarantine.DefaultConfig().Blame + 2*time.Second)
 				}
-				listed := func(want int) {
+				expectListed := func(want int) {
 					for name := range placeOf {
-						e := w.entry(name)
+						e := tc.entry(name)
 						is.Equal(len(e.suspects.list(e.clock.Now())), want) // of this entry
 					}
 				}
-				listed(1)
-				w.crash("b1")
-				w.start("b1", 2)
-				time.Sleep(settle)
-				w.resend(w.entry("b1"), req)
-				is.True(w.calls.ran() <= 2)
-				listed(1)
-				order := w.control.answers["c1"]
+				expectListed(1)
+				tc.crash("b1")
+				tc.start("b1", 2)
+				time.Sleep(settleTime)
+				tc.resend(tc.entry("b1"), req)
+				is.True(tc.calls.ran() <= 2)
+				expectListed(1)
+				order := tc.control.answers["c1"]
 				order.LiftedQuarantines = []string{fingerprintOf(req).String()}
-				w.control.set(map[string]port.FetchAnswer{"c1": order})
+				tc.control.set(map[string]port.FetchAnswer{"c1": order})
 				time.Sleep(2 * time.Second)
-				listed(0)
-				w.resend(w.entry("b1"), req)
+				expectListed(0)
+				tc.resend(tc.entry("b1"), req)
 				time.Sleep(quarantine.DefaultConfig().Blame + 2*time.Second)
-				is.Equal(w.calls.ran(), 4)
-				listed(1) // though the lift is told still
+				is.Equal(tc.calls.ran(), 4)
+				expectListed(1) // although the lift is still being broadcast
 			})
 		})
 	}
 }
 
-// TestFirstRunsAtOnce sends a crashing request through two owners at the same
-// moment. Each has told the other before it tries again, so one of them does at
-// most.
-func TestFirstRunsAtOnce(t *testing.T) {
+// TestCrashingRequestAtTwoOwners sends a crashing request through two owners at
+// the same time. Each must notify the other before it retries, so at most one
+// of them retries.
+func TestCrashingRequestAtTwoOwners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := settled(t)
-		w.calls.crash(port.ErrConnectionRefused)
-		crash := w.calls.call
-		w.calls.call = func(n int, to port.Endpoint) port.Answer {
+		tc := startTestCluster(t)
+		tc.calls.crash(port.ErrConnectionRefused)
+		crash := tc.calls.call
+		tc.calls.call = func(n int, to port.Endpoint) port.Answer {
 			time.Sleep(10 * time.Millisecond)
 			return crash(n, to)
 		}
 		var sent sync.WaitGroup
 		for _, name := range []string{"a1", "b1"} {
-			req := w.request()
+			req := tc.request()
 			req.Origin, req.Target = placeOf[name], "/crash"
-			sent.Go(func() { serve(w.entry(name), req) })
+			sent.Go(func() { serve(tc.entry(name), req) })
 		}
 		sent.Wait()
-		is.True(w.calls.ran() <= 3)
+		is.True(tc.calls.ran() <= 3)
 	})
 }
--- a/internal/app/entry/crossing.go
+++ b/internal/app/entry/crossing.go
@@ -10,37 +10,39 @@
 	"sassafrasreach/internal/port"
 )
 
-// headBytes is charged for the header of a request and of its answer.
-const headBytes = 2 << 10
+// headerBytes is charged for the header of a request and for that of its
+// answer.
+const headerBytes = 2 << 10
 
-// crossing is a request that is served outside its place of origin.
+// crossing is the reservation of a request that is served outside its place of
+// origin.
 type crossing struct {
 	entry  *Entry
 	charge budget.Charge
-	// link holds the bytes on the link that the request crosses.
+	// link reserves bytes in both directions of the link between the regions.
 	link *budget.Hold
 }
 
-// cross admits a request that is served outside its place of origin, if every
-// rule and the link that it crosses have room for it. The crossing is nil for
-// one that is served at home.
-func (e *Entry) cross(req *port.Request, key groupKey) (*crossing, error) {
+// admitCrossing admits a request that is served outside its place of origin, if
+// every rule and the link that it uses have capacity. The crossing is nil for a
+// request that is served in its place of origin.
+func (e *Entry) admitCrossing(req *port.Request, key groupKey) (*crossing, error) {
 	if req.Origin == key.place {
 		return nil, nil
 	}
 	choice, ok := e.snapshot.Load().table.Crossing(req.Service, req.Origin, key.place)
 	if !ok {
-		return nil, errNoRoom()
+		return nil, errCapReached()
 	}
 	charge := e.chargeOf(req, choice)
 	link := e.ledger.admit(e.clock.Now(), charge)
 	if link == nil {
-		return nil, errNoRoom()
+		return nil, errCapReached()
 	}
 	return &crossing{entry: e, charge: charge, link: link}, nil
 }
 
-func errNoRoom() error {
+func errCapReached() error {
 	return verdict.NewError(verdict.NotRun, verdict.ReasonCap, nil)
 }
 
@@ -50,15 +52,16 @@
 	from, to := regions[req.Origin].name, regions[choice.Place].name
 	if from != to {
 		charge.Link = &budget.LinkID{From: from, To: to}
-		charge.Bytes = int64(len(req.Body)) + headBytes
-		charge.AnswerBytes = req.MaxAnswerBytes + headBytes
+		charge.Bytes = int64(len(req.Body)) + headerBytes
+		charge.AnswerBytes = req.MaxAnswerBytes + headerBytes
 	}
 	return charge
 }
 
-// end counts the bytes that an answer really took. Those of a streamed answer
-// are known when its body is closed; until then its bound counts. The response
-// is nil for a failed request, which may have moved as much as it reserved.
+// end settles the reservation with the bytes of the answer. A streamed answer
+// is settled when its body is closed, and counts with its bound. The response
+// is nil for a failed request, which counts with its bound too, since it may
+// have transferred as much as it reserved.
 func (c *crossing) end(response *port.Response) {
 	switch {
 	case c == nil:
@@ -69,7 +72,7 @@
 			c.settle(c.charge.AnswerBytes)
 		}}
 	default:
-		c.settle(int64(len(response.Body)) + headBytes)
+		c.settle(int64(len(response.Body)) + headerBytes)
 	}
 }
 
@@ -77,49 +80,51 @@
 	c.entry.ledger.settle(c.entry.clock.Now(), c.link, bytes)
 }
 
-// sending is the gate of one attempt of a crossing request. Its units of the
-// rules are taken right before it is written, and count until a window after
-// it has surely arrived: however long writing takes, no window around the
-// arrival misses them.
-type sending struct {
+// attemptGate is the gate of one attempt of a crossing request. It reserves a
+// unit of each rule right before the request is written. The units stay
+// reserved until budget.DefaultTransit after the request was written, when it
+// has certainly arrived, and then count for one more window. So every window
+// around the arrival counts them, however long writing takes.
+type attemptGate struct {
 	crossing *crossing
-	hold     atomic.Pointer[budget.Hold] // nil before Open and after its end
+	hold     atomic.Pointer[budget.Hold] // nil before Open and after it is settled or released
 }
 
 // Open implements port.Gate.
-func (s *sending) Open() error {
-	e := s.crossing.entry
-	hold := e.ledger.take(e.clock.Now(), s.crossing.charge.Rules)
+func (g *attemptGate) Open() error {
+	e := g.crossing.entry
+	hold := e.ledger.take(e.clock.Now(), g.crossing.charge.Rules)
 	if hold == nil {
-		return errNoRoom()
+		return errCapReached()
 	}
-	s.hold.Store(hold)
-	for _, rule := range s.crossing.charge.Rules {
+	g.hold.Store(hold)
+	for _, rule := range g.crossing.charge.Rules {
 		e.meter.Moved(rule)
 	}
 	return nil
 }
 
 // Written implements port.Gate.
-func (s *sending) Written() {
-	time.AfterFunc(budget.DefaultTransit, s.arrived)
+func (g *attemptGate) Written() {
+	time.AfterFunc(budget.DefaultTransit, g.settleHold)
 }
 
-// arrived counts the attempt from now on for a window.
-func (s *sending) arrived() {
-	e := s.crossing.entry
-	if hold := s.hold.Swap(nil); hold != nil {
+// settleHold ends the reservation; the attempt counts from now on for a window.
+func (g *attemptGate) settleHold() {
+	e := g.crossing.entry
+	if hold := g.hold.Swap(nil); hold != nil {
 		e.ledger.settle(e.clock.Now(), hold, 0)
 	}
 }
 
-// end takes in how the attempt ended. One that was never written isn't counted.
-func (s *sending) end(err error) {
+// end ends the reservation when the attempt has ended. An attempt that was
+// never written is not counted; a shed attempt was written and is.
+func (g *attemptGate) end(err error) {
 	if verdict.Of(err) != verdict.NotRun || verdict.ReasonOf(err) == verdict.ReasonShed {
-		s.arrived()
+		g.settleHold()
 		return
 	}
-	if hold := s.hold.Swap(nil); hold != nil {
-		s.crossing.entry.ledger.release(hold)
+	if hold := g.hold.Swap(nil); hold != nil {
+		g.crossing.entry.ledger.release(hold)
 	}
 }
--- a/internal/app/entry/document_test.go
+++ b/internal/app/entry/document_test.go
@@ -14,8 +14,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// TestBootstrap tells which version a starting entry serves before and after
-// the grace.
+// TestBootstrap checks which version a starting entry serves before and after
+// bootstrapGrace.
 func TestBootstrap(t *testing.T) {
 	type answers = map[string]port.FetchAnswer
 	type documents = map[string]port.Config
@@ -42,19 +42,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, v2)
-				w.control.set(c.control)
-				w.documents = c.seeds
-				e := w.start("a1", 2, "s1", "s2")
+				tc := newTestCluster(t, v2)
+				tc.control.set(c.control)
+				tc.documents = c.seeds
+				e := tc.start("a1", 2, "s1", "s2")
 				time.Sleep(time.Millisecond)
-				is.Equal(e.version(), c.before) // already the first one is right
-				time.Sleep(cutOffGrace - 2*time.Millisecond)
+				is.Equal(e.version(), c.before) // the first applied version must be the right one
+				time.Sleep(bootstrapGrace - 2*time.Millisecond)
 				is.Equal(e.version(), c.before)
 				ready, why := e.Ready()
 				is.True(!ready && (why == "just started") == (c.before > 0))
 				time.Sleep(2 * pullPeriod)
 				is.Equal(e.version(), c.after)
-				time.Sleep(2 * cutOffGrace) // until it may own
+				time.Sleep(2 * bootstrapGrace) // until it may own groups
 				ready, _ = e.Ready()
 				is.Equal(ready, c.after > 0)
 			})
@@ -62,7 +62,9 @@
 	}
 }
 
-// TestNewerDocuments offers documents to an entry that serves version 3.
+// TestNewerDocuments offers documents to an entry that serves version 3. It
+// guards against an older, corrupt or unparsable document replacing the one in
+// force.
 func TestNewerDocuments(t *testing.T) {
 	v2, v3, v4 := configOf(t, 2), configOf(t, 3), configOf(t, 4)
 	wrong, unreadable := v4, v4
@@ -84,15 +86,15 @@
 			t.Run(c.name+" from "+source, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					w := newWorld(t, v3)
-					e := w.start("a1", 1)
-					time.Sleep(settle)
+					tc := newTestCluster(t, v3)
+					e := tc.start("a1", 1)
+					time.Sleep(settleTime)
 					if source == "control" {
-						w.control.set(map[string]port.FetchAnswer{"c1": {Config: c.config, Quorum: true}})
+						tc.control.set(map[string]port.FetchAnswer{"c1": {Config: c.config, Quorum: true}})
 					} else {
-						w.mu.Lock()
-						w.documents = map[string]port.Config{peerAddress("a2"): c.config}
-						w.mu.Unlock()
+						tc.mu.Lock()
+						tc.documents = map[string]port.Config{peerAddress("a2"): c.config}
+						tc.mu.Unlock()
 						row := membership.MemberRow{Name: "a2", Place: "a", Incarnation: 1, Counter: 1, Version: 9}
 						e.HandleHeartbeat(membership.Heartbeat{From: "a2", Members: []membership.MemberRow{row}})
 					}
@@ -105,7 +107,9 @@
 	}
 }
 
-// TestCaps sends requests to the owner of place b in one moment.
+// TestCaps sends requests to the owner of place b at one time. It guards
+// against crossing requests above the lowest cap, and against traffic of the
+// place itself counting as crossing.
 func TestCaps(t *testing.T) {
 	rule := func(name, of string, limit int) document.Rule {
 		return document.Rule{Name: name, Service: of, From: "a", To: "b", RequestsPerS: limit}
@@ -115,7 +119,7 @@
 		rules  []document.Rule
 		origin string
 		ran    int
-		moved  int // of each rule
+		moved  int // requests counted by each rule
 	}{
 		{"no rule", nil, "a", 0, 0},
 		{"rule of the service is less", []document.Rule{rule("one", service, 3), rule("all", "", 5)}, "a", 3, 3},
@@ -126,12 +130,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := settled(t, c.rules...)
+				tc := startTestCluster(t, c.rules...)
 				ran := 0
 				for range 6 {
-					req := w.request()
+					req := tc.request()
 					req.Origin = c.origin
-					_, err := w.entry("b1").HandleForward(context.Background(), ownerForward(req, groupKey{service, "b"}, false))
+					_, err := tc.entry("b1").HandleForward(context.Background(), newOwnerForward(req, groupKey{service, "b"}, false))
 					if err == nil {
 						ran++
 						continue
@@ -140,9 +144,9 @@
 					is.Equal(verdict.ReasonOf(err), verdict.ReasonCap)
 				}
 				is.Equal(ran, c.ran)
-				is.Equal(w.calls.ran(), c.ran)
+				is.Equal(tc.calls.ran(), c.ran)
 				for _, r := range c.rules {
-					is.Equal(w.meter.moved[r.Name], c.moved)
+					is.Equal(tc.meter.moved[r.Name], c.moved)
 				}
 			})
 		})
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -13,32 +13,34 @@
 )
 
 const (
-	// lookupTTL bounds how long a caller may cache a look-up.
+	// lookupTTL is how long a caller may cache the answer to a look-up.
 	lookupTTL = 2 * time.Second
-	// announceInterval is what endpoints are asked to keep.
+	// announceInterval is the period at which endpoints should announce
+	// themselves.
 	announceInterval = time.Second
-	// peerTimeout bounds one control call to another VM.
+	// peerTimeout is the timeout of one control call to another VM.
 	peerTimeout = 400 * time.Millisecond
-	// callWorkers is the number of requests that may be at endpoints at once.
+	// callWorkers bounds the concurrent requests to endpoints.
 	callWorkers = 1024
-	// controlWorkers is the number of control calls in progress at once.
+	// controlWorkers bounds the concurrent background calls to other VMs.
 	controlWorkers = 32
 )
 
-// Config describes one entry.
+// Config holds the settings of one entry.
 type Config struct {
 	// Name and Place identify the entry as the document does.
 	Name  string
 	Place string
-	// Incarnation is higher at each start.
+	// Incarnation increases with each start of the entry.
 	Incarnation uint64
-	// Control are the IP:ports of the control VMs.
+	// Control lists the IP:port addresses of the control VMs.
 	Control []string
-	// Seeds are IP:ports of other entries, used before there is a document.
+	// Seeds lists IP:port addresses of other entries. The first document is
+	// fetched from them if no control quorum answers.
 	Seeds []string
 }
 
-// Ports are the adapters that an entry uses.
+// Ports holds the adapters that an entry uses.
 type Ports struct {
 	Clock     port.Clock
 	Logger    *slog.Logger
@@ -59,24 +61,24 @@
 	endpoints port.EndpointCaller
 	meter     port.Meter
 
-	snapshot atomic.Pointer[snapshot]
-	pull     puller
-	members  *members
-	groups   *groups
-	ledger   *ledger
-	claims   *claimTable
-	suspects *suspects
-	spreader *spreader
-	attempts *attempts
-	retries  *retryBudget
-	outbox   *outbox
+	snapshot    atomic.Pointer[snapshot]
+	pull        puller
+	members     *members
+	groups      *groups
+	ledger      *ledger
+	claims      *claimTable
+	suspects    *suspects
+	broadcaster *broadcaster
+	attempts    *attempts
+	retries     *retryBudget
+	outbox      *outbox
 
-	calls     *workers.Pool
-	controls  *workers.Pool
-	beatNow   chan struct{}
-	misplaced chan struct{} // closed when the first document lacks this entry's place
-	stopping  atomic.Bool
-	inFlight  atomic.Int64
+	calls        *workers.Pool
+	controls     *workers.Pool
+	heartbeatNow chan struct{}
+	misplaced    chan struct{} // closed when the first document doesn't list this entry's place
+	stopping     atomic.Bool
+	inFlight     atomic.Int64
 }
 
 var (
@@ -84,54 +86,56 @@
 	_ port.PeerHandler = (*Entry)(nil)
 )
 
-// New returns an entry that serves nothing until Run has found a document.
+// New returns an entry. It refuses requests until Run has applied a first
+// document.
 func New(config Config, ports Ports) *Entry {
 	now := ports.Clock.Now()
-	home := claims.Home{Entry: config.Name, Incarnation: config.Incarnation}
+	self := claims.Home{Entry: config.Name, Incarnation: config.Incarnation}
 	return &Entry{
-		config:    config,
-		clock:     ports.Clock,
-		logger:    ports.Logger,
-		peers:     ports.Peers,
-		control:   ports.Control,
-		endpoints: ports.Endpoints,
-		meter:     ports.Meter,
-		members:   newMembers(config),
-		groups:    newGroups(),
-		ledger:    newLedger(config, now),
-		claims:    newClaimTable(home),
-		suspects:  newSuspects(),
-		spreader:  newSpreader(),
-		attempts:  newAttempts(),
-		retries:   newRetryBudget(),
-		outbox:    newOutbox(),
-		calls:     workers.New(callWorkers),
-		controls:  workers.New(controlWorkers),
-		beatNow:   make(chan struct{}, 1),
-		misplaced: make(chan struct{}),
+		config:       config,
+		clock:        ports.Clock,
+		logger:       ports.Logger,
+		peers:        ports.Peers,
+		control:      ports.Control,
+		endpoints:    ports.Endpoints,
+		meter:        ports.Meter,
+		members:      newMembers(config),
+		groups:       newGroups(),
+		ledger:       newLedger(config, now),
+		claims:       newClaimTable(self),
+		suspects:     newSuspects(),
+		broadcaster:  newBroadcaster(),
+		attempts:     newAttempts(),
+		retries:      newRetryBudget(),
+		outbox:       newOutbox(),
+		calls:        workers.New(callWorkers),
+		controls:     workers.New(controlWorkers),
+		heartbeatNow: make(chan struct{}, 1),
+		misplaced:    make(chan struct{}),
 	}
 }
 
-// Run does the periodic work until ctx ends.
+// Run does the periodic work until ctx ends, then closes the worker pools.
 func (e *Entry) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { e.pullLoop(ctx) })
-	wg.Go(func() { e.beatLoop(ctx) })
+	wg.Go(func() { e.heartbeatLoop(ctx) })
 	wg.Go(func() { e.tickLoop(ctx) })
 	wg.Go(func() { e.outboxLoop(ctx) })
 	wg.Go(func() { e.loanLoop(ctx) })
 	wg.Go(func() { e.expireLoop(ctx) })
-	wg.Go(func() { e.spreadLoop(ctx) })
+	wg.Go(func() { e.broadcastLoop(ctx) })
 	wg.Wait()
 	e.calls.Close()
 	e.controls.Close()
 }
 
-// Misplaced is closed when the first document of this process doesn't have the
-// entry's place.
+// Misplaced returns a channel that is closed when the first document of this
+// process doesn't list the entry's place.
 func (e *Entry) Misplaced() <-chan struct{} { return e.misplaced }
 
-// Ready says whether the entry serves; the text says why not.
+// Ready reports whether callers may be sent to this entry; if not, why is the
+// reason.
 func (e *Entry) Ready() (ok bool, why string) {
 	if e.stopping.Load() {
 		return false, "stopping"
@@ -145,8 +149,8 @@
 	return true, ""
 }
 
-// inBackground runs a control call on a worker with the usual time limit. It
-// is dropped when every worker stays busy for that long.
+// inBackground runs a control call on a worker, with peerTimeout. The call is
+// dropped if no worker becomes free within that time.
 func (e *Entry) inBackground(ctx context.Context, do func(ctx context.Context)) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	err := e.controls.Submit(ctx, func() {
--- a/internal/app/entry/group.go
+++ b/internal/app/entry/group.go
@@ -12,15 +12,16 @@
 	"sassafrasreach/internal/port"
 )
 
-// groupKey names the endpoints of one service in one place.
+// groupKey identifies the endpoints of one service in one place.
 type groupKey struct {
 	service string
 	place   string
 }
 
-// groups holds the groups that endpoints were announced for.
+// groups holds the groups for which this entry has received an announcement or
+// a request.
 type groups struct {
-	queued chan struct{} // a request began to wait
+	queued chan struct{} // signaled when the first request of a group starts to wait
 
 	mu    sync.Mutex
 	byKey map[groupKey]*group
@@ -30,8 +31,8 @@
 	return &groups{queued: make(chan struct{}, 1), byKey: make(map[groupKey]*group)}
 }
 
-// get returns the group, which is made with the parameters that config gives
-// when there is none yet.
+// get returns the group of key. If there is none yet, it is created with the
+// parameters that config returns.
 func (s *groups) get(key groupKey, config func(groupKey) admission.Config) *group {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +54,8 @@
 	return out
 }
 
-// group guards the admission of one group and wakes the requests that wait.
+// group guards the admission state of one group and wakes the requests that
+// wait.
 type group struct {
 	key    groupKey
 	queued chan struct{}
@@ -76,8 +78,8 @@
 	}
 }
 
-// admit waits for a slot. Every error is a *verdict.Error with NotRun: the
-// ticket can no longer be granted when it returns one.
+// admit waits for a slot. Every error is a *verdict.Error with NotRun: once it
+// is returned, the ticket can no longer be granted.
 func (g *group) admit(ctx context.Context, clock port.Clock, t admission.Ticket) (admission.Grant, error) {
 	g.mu.Lock()
 	decision := g.state.Offer(clock.Now(), t)
@@ -103,13 +105,13 @@
 		}
 		return grant, nil
 	case <-ctx.Done():
-		return admission.Grant{}, g.giveUp(clock.Now(), t.ID, ctx.Err())
+		return admission.Grant{}, g.cancelWait(clock.Now(), t.ID, ctx.Err())
 	}
 }
 
-// giveUp takes a waiting ticket out, or hands back the slot that it was given
-// meanwhile.
-func (g *group) giveUp(now time.Time, ticket uint64, cause error) error {
+// cancelWait removes a waiting ticket, or releases its slot if it was granted
+// one in the meantime.
+func (g *group) cancelWait(now time.Time, ticket uint64, cause error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waiting, ticket)
@@ -119,7 +121,8 @@
 	return verdict.NewError(verdict.NotRun, contextReason(cause), cause)
 }
 
-// done frees the slot of a ticket and wakes the requests that get one.
+// done releases the slot of a ticket and wakes the requests that are granted
+// one.
 func (g *group) done(now time.Time, ticket uint64, result admission.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -129,14 +132,15 @@
 	g.grant(g.state.Done(now, ticket, result))
 }
 
-// observe adds the latency of an answer that came through another entry.
-func (g *group) observe(latency time.Duration) {
+// recordLatency adds the latency of an answer that was received from another
+// entry.
+func (g *group) recordLatency(latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.latency.Add(latency)
 }
 
-// tick expires tickets and endpoints, and says whether requests still wait.
+// tick expires tickets and endpoints, and reports whether requests still wait.
 func (g *group) tick(now time.Time) (waiting bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,7 +155,7 @@
 	return len(g.waiting) > 0
 }
 
-// grant wakes waiting requests; must hold mu.
+// grant wakes the requests that were granted a slot; must hold mu.
 func (g *group) grant(grants []admission.Grant) {
 	for _, grant := range grants {
 		if wait, ok := g.waiting[grant.Ticket]; ok {
@@ -161,9 +165,10 @@
 	}
 }
 
-// announce takes a report in. When it is the first of a new incarnation and the
-// former one had not said that it leaves, replaced is set.
-func (g *group) announce(now time.Time, a admission.Announcement) (former uint64, replaced bool) {
+// announce applies an announcement and returns the incarnation known before it,
+// 0 if none. replaced reports that the announcement is from a newer incarnation
+// and the former one had not announced that it was leaving.
+func (g *group) announce(now time.Time, a admission.Announcement) (previous uint64, replaced bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	known, leaving := g.state.Incarnation(a.ID)
@@ -177,7 +182,7 @@
 	g.state.Configure(config)
 }
 
-func (g *group) lost(now time.Time, endpoint string, incarnation uint64) {
+func (g *group) markEndpointLost(now time.Time, endpoint string, incarnation uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.state.Lost(now, endpoint, incarnation)
@@ -189,27 +194,30 @@
 	return g.state.Stats(now)
 }
 
-// lateAfter returns the time after which an answer counts as late.
-func (g *group) lateAfter() time.Duration {
+// hedgeDelay returns the time after which an answer counts as late and the
+// request may be hedged.
+func (g *group) hedgeDelay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.latency.Samples() < minLateSamples {
-		return coldLate
+	if g.latency.Samples() < minHedgeSamples {
+		return coldHedgeDelay
 	}
-	return max(minLate, g.latency.Quantile(lateQuantile))
+	return max(minHedgeDelay, g.latency.Quantile(hedgeQuantile))
 }
 
 const (
-	// lateQuantile of a group's own latencies is when an answer is late.
-	lateQuantile = 0.95
-	// minLate bounds it from below.
-	minLate = 10 * time.Millisecond
-	// coldLate stands in for it while there are fewer than minLateSamples.
-	coldLate       = 200 * time.Millisecond
-	minLateSamples = 20
+	// hedgeQuantile is the quantile of a group's own latencies above which an
+	// answer is late.
+	hedgeQuantile = 0.95
+	// minHedgeDelay is the lower bound of the hedge delay.
+	minHedgeDelay = 10 * time.Millisecond
+	// coldHedgeDelay is the hedge delay while there are fewer than
+	// minHedgeSamples latencies.
+	coldHedgeDelay  = 200 * time.Millisecond
+	minHedgeSamples = 20
 )
 
-// contextReason classes the end of a context.
+// contextReason classifies the error of an ended context.
 func contextReason(err error) verdict.Reason {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return verdict.ReasonDeadline
--- a/internal/app/entry/group_test.go
+++ b/internal/app/entry/group_test.go
@@ -12,8 +12,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// oneSlot returns a group of one warm endpoint with one slot, which a first
-// ticket has, and with samples that let others wait.
+// oneSlot returns a group of one warm endpoint. Ticket 1 holds its only slot,
+// and there are enough latency samples for further requests to be queued.
 func oneSlot(t *testing.T, now time.Time) *group {
 	t.Helper()
 	g := newGroup(groupKey{"s", "p"}, admission.Config{}, make(chan struct{}, 1))
@@ -35,10 +35,10 @@
 	return g
 }
 
-// TestCallerGoesAway cancels a request that waits: before a slot comes free,
-// and at the moment when it is given one. It is never dispatched after it was
-// told NotRun, and no slot is lost.
-func TestCallerGoesAway(t *testing.T) {
+// TestCallerCancelsWhileQueued cancels a queued request: before a slot becomes
+// free, and at the moment when it is granted one. It guards against dispatching
+// a request after its caller received NotRun, and against leaking the slot.
+func TestCallerCancelsWhileQueued(t *testing.T) {
 	for _, grantFirst := range []bool{false, true} {
 		is := is.New(t)
 		now := time.Unix(1000, 0)
@@ -50,7 +50,7 @@
 			_, err := g.admit(ctx, clock, admission.Ticket{ID: 2, Deadline: now.Add(time.Minute), Own: true})
 			ended <- err
 		}()
-		<-g.queued // it waits
+		<-g.queued // the request is queued
 		if grantFirst {
 			g.done(now, 1, admission.Result{Kind: admission.OK, Latency: time.Second})
 		}
@@ -71,8 +71,9 @@
 	}
 }
 
-// TestCancelledBeforeCall lets the caller go away after the grant and before a
-// worker sends the request: the endpoint isn't called.
+// TestCancelledBeforeCall cancels a request after the grant and before a worker
+// sends it. It guards against calling the endpoint for a caller that is gone,
+// and against leaking the slot.
 func TestCancelledBeforeCall(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		is := is.New(t)
@@ -86,7 +87,7 @@
 			retries:   newRetryBudget(),
 		}
 		req := &port.Request{Service: "s", Deadline: now.Add(time.Minute)}
-		run := &endpointRun{entry: e, owned: owned{req: req, group: g}, grant: admission.Grant{Ticket: 1}, granted: now}
+		run := &endpointRun{entry: e, ownedRequest: ownedRequest{req: req, group: g}, grant: admission.Grant{Ticket: 1}, granted: now}
 		ctx, cancel := context.WithCancel(t.Context())
 		if cancelled {
 			cancel()
@@ -111,9 +112,9 @@
 
 func (c *countingCaller) Probe(context.Context, port.Endpoint) error { return nil }
 
-// TestGiveUpAfterGrant gives a request up that was granted a slot at the same
-// moment: the slot is handed back.
-func TestGiveUpAfterGrant(t *testing.T) {
+// TestCancelWaitAfterGrant cancels a queued request that was granted a slot at
+// the same time. It guards against leaking the slot.
+func TestCancelWaitAfterGrant(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	g := oneSlot(t, now)
@@ -124,8 +125,8 @@
 	g.mu.Unlock()
 	is.Equal(decision.Kind, admission.Queued)
 	g.done(now, 1, admission.Result{Kind: admission.OK, Latency: time.Second})
-	is.Equal(len(wait), 1) // granted, and not taken up
-	err := g.giveUp(now, 2, context.Canceled)
+	is.Equal(len(wait), 1) // granted, but not yet received
+	err := g.cancelWait(now, 2, context.Canceled)
 	is.Equal(verdict.Of(err), verdict.NotRun)
 	is.Equal(g.stats(now).Busy, 0)
 }
--- a/internal/app/entry/learn.go
+++ b/internal/app/entry/learn.go
@@ -8,27 +8,28 @@
 	"sassafrasreach/internal/core/membership"
 )
 
-// maxLearnedFrom bounds the entries that a starting one asks.
-const maxLearnedFrom = 8
+// maxQuarantineSources bounds the entries that a starting entry queries.
+const maxQuarantineSources = 8
 
-// learn asks other entries what is in quarantine, before this one serves. One
-// answer is enough; the nearest ones are asked.
-func (e *Entry) learn(ctx context.Context, s *snapshot) {
+// fetchQuarantine fetches the quarantine of other entries before this one
+// serves. One answer is enough; the nearest entries are queried.
+func (e *Entry) fetchQuarantine(ctx context.Context, s *snapshot) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	var asked sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, peer := range e.nearest(s) {
-		asked.Go(func() {
+		requests.Go(func() {
 			rows, err := e.peers.Quarantine(ctx, peer.Address, nil)
 			if err == nil {
-				e.suspects.take(e.clock.Now(), rows)
+				e.suspects.applyRows(e.clock.Now(), rows)
 			}
 		})
 	}
-	asked.Wait()
+	requests.Wait()
 }
 
-// nearest returns a few other entries, those of the own place first.
+// nearest returns up to maxQuarantineSources other entries, those of the own
+// place first.
 func (e *Entry) nearest(s *snapshot) []membership.Peer {
 	var own, others []membership.Peer
 	for _, peer := range s.peers {
@@ -41,5 +42,5 @@
 		}
 	}
 	all := slices.Concat(own, others)
-	return all[:min(len(all), maxLearnedFrom)]
+	return all[:min(len(all), maxQuarantineSources)]
 }
--- a/internal/app/entry/ledger.go
+++ b/internal/app/entry/ledger.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// loanPeriod is the time between looks for loans.
+	// loanPeriod is the time between checks whether loans are needed.
 	loanPeriod = 250 * time.Millisecond
-	// versionsPeriod is the time between reports of others' versions.
+	// versionsPeriod is the time between updates of the other entries' document
+	// versions in the ledger.
 	versionsPeriod = time.Second
 )
 
-// ledger guards this entry's part of all caps.
+// ledger guards this entry's share of all caps.
 type ledger struct {
 	mu    sync.Mutex
 	table *budget.Ledger
@@ -64,7 +65,7 @@
 	l.table.Release(h)
 }
 
-func (l *ledger) wants(now time.Time) []budget.BorrowRequest {
+func (l *ledger) loanRequests(now time.Time) []budget.BorrowRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Wants(now)
@@ -76,29 +77,30 @@
 	return l.table.Lend(now, r)
 }
 
-func (l *ledger) borrowed(now time.Time, r budget.BorrowRequest, sentAt time.Time, g budget.Grant) {
+func (l *ledger) recordLoan(now time.Time, r budget.BorrowRequest, sentAt time.Time, g budget.Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table.Borrowed(now, r, sentAt, g)
 }
 
-// loanLoop borrows unused shares of other entries while this one lacks some.
+// loanLoop borrows unused shares of other entries while its own are
+// insufficient.
 func (e *Entry) loanLoop(ctx context.Context) {
-	var told time.Time
+	var reported time.Time
 	wait.Each(ctx, loanPeriod, func() {
 		now := e.clock.Now()
-		if now.Sub(told) >= versionsPeriod {
-			told = now
-			e.ledger.setVersions(now, e.heardVersions(now))
+		if now.Sub(reported) >= versionsPeriod {
+			reported = now
+			e.ledger.setVersions(now, e.peerVersions(now))
 		}
-		for _, want := range e.ledger.wants(now) {
-			e.inBackground(ctx, func(ctx context.Context) { e.borrow(ctx, want) })
+		for _, request := range e.ledger.loanRequests(now) {
+			e.inBackground(ctx, func(ctx context.Context) { e.borrow(ctx, request) })
 		}
 	})
 }
 
-// heardVersions tells which version each other live entry has.
-func (e *Entry) heardVersions(now time.Time) map[string]uint64 {
+// peerVersions returns the document version of each other live entry.
+func (e *Entry) peerVersions(now time.Time) map[string]uint64 {
 	versions := make(map[string]uint64)
 	s := e.snapshot.Load()
 	if s == nil {
@@ -112,24 +114,24 @@
 	return versions
 }
 
-func (e *Entry) borrow(ctx context.Context, want budget.BorrowRequest) {
-	address, ok := e.snapshot.Load().entries[want.Lender]
+func (e *Entry) borrow(ctx context.Context, request budget.BorrowRequest) {
+	address, ok := e.snapshot.Load().entries[request.Lender]
 	if !ok {
 		return
 	}
 	sentAt := e.clock.Now()
 	grant, err := e.peers.Borrow(ctx, address.peer, port.LoanRequest{
-		Bucket:              want.Bucket,
-		Borrower:            want.Borrower,
-		BorrowerIncarnation: want.BorrowerIncarnation,
-		Units:               uint64(want.Units),
-		Term:                want.Term,
-		DocumentVersion:     want.DocumentVersion,
+		Bucket:              request.Bucket,
+		Borrower:            request.Borrower,
+		BorrowerIncarnation: request.BorrowerIncarnation,
+		Units:               uint64(request.Units),
+		Term:                request.Term,
+		DocumentVersion:     request.DocumentVersion,
 	})
 	if err != nil {
 		return
 	}
-	e.ledger.borrowed(e.clock.Now(), want, sentAt, budget.Grant{Units: int64(grant.Units), Term: grant.Term})
+	e.ledger.recordLoan(e.clock.Now(), request, sentAt, budget.Grant{Units: int64(grant.Units), Term: grant.Term})
 }
 
 // HandleBorrow implements port.PeerHandler.
--- a/internal/app/entry/lookup.go
+++ b/internal/app/entry/lookup.go
@@ -13,11 +13,11 @@
 	"sassafrasreach/internal/port"
 )
 
-// maxLookupEntries bounds the entries that one look-up names.
+// maxLookupEntries bounds the entries in the answer to one look-up.
 const maxLookupEntries = 8
 
-// Lookup ranks entries from local state alone. It names first the entry that
-// owns the best group, so that the common case needs no second hop.
+// Lookup ranks entries from local state alone. The owner of the best group
+// comes first, so that the common case needs no second hop.
 func (e *Entry) Lookup(q port.LookupQuery) (port.LookupAnswer, error) {
 	s, err := e.current()
 	if err != nil {
@@ -38,7 +38,7 @@
 		Place:     origin,
 		TTLMillis: lookupTTL.Milliseconds(),
 		Version:   s.config.Version,
-		Home:      e.homeToken(ranked[0]),
+		Home:      e.keyToken(ranked[0]),
 	}
 	for _, member := range ranked {
 		address := s.entries[member.Name]
@@ -51,9 +51,9 @@
 	return answer, nil
 }
 
-// rankEntries names live entries: for each place in the order of steering its
-// group's owner, then the other entries of that place; last the entries of the
-// caller's own place, which pass requests on.
+// rankEntries returns live entries: first the owners of the groups in steering
+// order, then the other entries of these places in the same order, last the
+// entries of the caller's and of this entry's place, which forward requests.
 func (e *Entry) rankEntries(s *snapshot, service, origin string) []membership.Member {
 	now := e.clock.Now()
 	var ranked []membership.Member
@@ -83,13 +83,15 @@
 	return ranked
 }
 
-// homeToken begins the keys whose home is the given incarnation of an entry.
-func (e *Entry) homeToken(m membership.Member) string {
-	home := claims.Home{Entry: m.Name, Incarnation: m.Incarnation}
-	return claims.NewToken(home, e.clock.Now())
+// keyToken returns the token that begins the keys whose coordinator is the
+// given incarnation of an entry.
+func (e *Entry) keyToken(m membership.Member) string {
+	coordinator := claims.Home{Entry: m.Name, Incarnation: m.Incarnation}
+	return claims.NewToken(coordinator, e.clock.Now())
 }
 
-// Terms returns the bounds of a service for a method.
+// Terms returns the deadline and size bounds of a service, and whether method
+// is once-only.
 func (e *Entry) Terms(service, method string) (port.ServiceTerms, error) {
 	s, err := e.current()
 	if err != nil {
--- a/internal/app/entry/members.go
+++ b/internal/app/entry/members.go
@@ -11,19 +11,19 @@
 )
 
 // beatPeriod is the time between heartbeats.
-const beatPeriod = 500 * time.Millisecond
+const heartbeatPeriod = 500 * time.Millisecond
 
 // members guards the membership table.
 type members struct {
 	mu        sync.Mutex
 	table     *membership.Table
-	roundTrip map[string]time.Duration // of heartbeats, by place
+	roundTrip map[string]time.Duration // moving average over heartbeats, by place
 }
 
 func newMembers(config Config) *members {
 	self := membership.Member{Name: config.Name, Place: config.Place, Incarnation: config.Incarnation}
 	return &members{
-		table:     membership.NewTable(self, membership.Config{Period: beatPeriod}),
+		table:     membership.NewTable(self, membership.Config{Period: heartbeatPeriod}),
 		roundTrip: make(map[string]time.Duration),
 	}
 }
@@ -65,8 +65,8 @@
 	return m.table.Live(now, place)
 }
 
-// orphaned says whether a group that has endpoints has no owner.
-func (m *members) orphaned(now time.Time, key groupKey) bool {
+// ownerless reports whether a group that has endpoints has no owner.
+func (m *members) ownerless(now time.Time, key groupKey) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	row, _, ok := m.table.Group(now, key.service, key.place)
@@ -80,16 +80,18 @@
 	return m.table.Settled(now)
 }
 
-func (m *members) relieved(now time.Time) bool {
+func (m *members) mayLeave(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Relieved(now)
 }
 
-// roundTripWeight is the weight of a new sample, as a divisor.
+// roundTripWeight is the divisor that gives a new sample's weight in the moving
+// average.
 const roundTripWeight = 8
 
-// noteRoundTrip takes in the round trip of a heartbeat to a place.
+// noteRoundTrip adds the round trip of a heartbeat to the moving average of a
+// place.
 func (m *members) noteRoundTrip(place string, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,7 +103,7 @@
 	m.roundTrip[place] = known + (took-known)/roundTripWeight
 }
 
-// view shows the groups as the heartbeats tell them; it implements
+// view presents the groups as reported by heartbeats; it implements
 // steering.View.
 type view struct {
 	members *members
@@ -129,21 +131,21 @@
 	}, true
 }
 
-// beatLoop sends heartbeats each period, and at once when something changed.
-func (e *Entry) beatLoop(ctx context.Context) {
-	var seen watch
-	beat := func() {
-		e.beat(ctx)
-		e.noteChanges(ctx, &seen, e.clock.Now())
+// heartbeatLoop sends heartbeats each period, and at once after wakeHeartbeat.
+func (e *Entry) heartbeatLoop(ctx context.Context) {
+	var seen observed
+	sendHeartbeats := func() {
+		e.sendHeartbeats(ctx)
+		e.logMembershipChanges(ctx, &seen, e.clock.Now())
 	}
-	beat()
-	wait.EachOr(ctx, beatPeriod, e.beatNow, beat)
+	sendHeartbeats()
+	wait.EachOr(ctx, heartbeatPeriod, e.heartbeatNow, sendHeartbeats)
 }
 
-// wakeBeat makes the next heartbeat due at once.
-func (e *Entry) wakeBeat() { signal(e.beatNow) }
+// wakeHeartbeat makes the next heartbeat due at once.
+func (e *Entry) wakeHeartbeat() { signal(e.heartbeatNow) }
 
-func (e *Entry) beat(ctx context.Context) {
+func (e *Entry) sendHeartbeats(ctx context.Context) {
 	now := e.clock.Now()
 	rows := e.ownRows(now)
 	var targets []membership.Target
@@ -152,22 +154,23 @@
 		targets = t.Tick(now)
 	})
 	for _, target := range targets {
-		e.inBackground(ctx, func(ctx context.Context) { e.beatTo(ctx, target) })
+		e.inBackground(ctx, func(ctx context.Context) { e.sendHeartbeat(ctx, target) })
 	}
 }
 
-func (e *Entry) beatTo(ctx context.Context, target membership.Target) {
+func (e *Entry) sendHeartbeat(ctx context.Context, target membership.Target) {
 	sent := e.clock.Now()
 	reply, err := e.peers.Heartbeat(ctx, target.Peer.Address, target.Heartbeat)
 	if err != nil {
 		return
 	}
 	e.members.noteRoundTrip(target.Peer.Place, e.clock.Now().Sub(sent))
-	e.receiveBeat(reply)
+	e.receiveHeartbeat(reply)
 }
 
-// receiveBeat takes rows in and returns this entry's own.
-func (e *Entry) receiveBeat(hb membership.Heartbeat) membership.Heartbeat {
+// receiveHeartbeat applies the received rows and returns this entry's own as
+// the reply.
+func (e *Entry) receiveHeartbeat(hb membership.Heartbeat) membership.Heartbeat {
 	var reply membership.Heartbeat
 	e.members.with(func(t *membership.Table) { reply = t.Receive(e.clock.Now(), hb) })
 	return reply
@@ -175,10 +178,10 @@
 
 // HandleHeartbeat implements port.PeerHandler.
 func (e *Entry) HandleHeartbeat(hb membership.Heartbeat) membership.Heartbeat {
-	return e.receiveBeat(hb)
+	return e.receiveHeartbeat(hb)
 }
 
-// ownRows tells the use of the groups that this entry owns.
+// ownRows returns and meters the usage of the groups that this entry owns.
 func (e *Entry) ownRows(now time.Time) []membership.GroupRow {
 	var rows []membership.GroupRow
 	for _, g := range e.groups.all() {
--- a/internal/app/entry/once.go
+++ b/internal/app/entry/once.go
@@ -11,22 +11,24 @@
 	"sassafrasreach/internal/port"
 )
 
-// errAnswerOmitted means that the request ran but its answer wasn't kept.
+// errAnswerOmitted means that the request ran but its answer was too large to
+// store.
 var errAnswerOmitted = errors.New("the answer was too large to keep")
 
-// serveOnce serves a once-only request: here if this incarnation is its key's
-// home, else at the home. With mayPass unset it is never passed on again.
-func (e *Entry) serveOnce(ctx context.Context, req *port.Request, mayPass bool) (*port.Response, error) {
+// serveOnce serves a once-only request here if this incarnation is its key's
+// coordinator, else forwards it to the coordinator. With mayForward unset it
+// never forwards it and decides from the claims of this entry.
+func (e *Entry) serveOnce(ctx context.Context, req *port.Request, mayForward bool) (*port.Response, error) {
 	key, err := claims.ParseKey(req.Key)
 	if err != nil {
 		return nil, verdict.NewError(verdict.NotRun, verdict.ReasonNoKey, err)
 	}
-	if mayPass && key.Home != e.claims.home {
-		return e.passHome(ctx, req, key)
+	if mayForward && key.Home != e.claims.self {
+		return e.forwardToCoordinator(ctx, req, key)
 	}
-	print := fingerprintOf(req)
+	fp := fingerprintOf(req)
 	for {
-		decision, ended := e.claims.begin(e.clock.Now(), key, print)
+		decision, ended := e.claims.begin(e.clock.Now(), key, fp)
 		switch decision.Kind {
 		case claims.Start:
 			return e.runOnce(ctx, req, key)
@@ -43,11 +45,11 @@
 	}
 }
 
-// errStillRunning means that an earlier attempt of the key is under way.
+// errStillRunning means that an earlier attempt of the key is in progress.
 var errStillRunning = errors.New("an earlier attempt of the key is under way")
 
-// runOnce runs the one attempt of a key. The attempt goes on when its caller
-// goes away, so that a resend finds the outcome.
+// runOnce runs the only attempt of a key. The attempt continues when its caller
+// disconnects, so that a resend finds the outcome.
 func (e *Entry) runOnce(ctx context.Context, req *port.Request, key claims.Key) (*port.Response, error) {
 	if err := e.checkDeadline(req); err != nil {
 		e.claims.finish(e.clock.Now(), key, outcomeOf(nil, err))
@@ -57,7 +59,7 @@
 	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), req.Deadline)
 	go func() {
 		defer cancel()
-		response, err := whole(e.startOnce(detached, req))
+		response, err := readFully(e.routeOnceOnly(detached, req))
 		e.claims.finish(e.clock.Now(), key, outcomeOf(response, err))
 		answer <- port.Answer{Response: response, Err: err}
 	}()
@@ -65,14 +67,14 @@
 	case a := <-answer:
 		return a.Response, a.Err
 	case <-ctx.Done():
-		e.countUntil(answer)
+		e.keepInFlight(answer)
 		return nil, verdict.NewError(verdict.MayHaveRun, contextReason(ctx.Err()), ctx.Err())
 	}
 }
 
-// countUntil keeps an attempt whose caller went away among the requests in
-// flight until it has ended.
-func (e *Entry) countUntil(ended <-chan port.Answer) {
+// keepInFlight counts an attempt whose caller disconnected among the requests
+// in flight until it has ended.
+func (e *Entry) keepInFlight(ended <-chan port.Answer) {
 	e.inFlight.Add(1)
 	go func() {
 		<-ended
@@ -80,20 +82,22 @@
 	}()
 }
 
-// startOnce sends a claimed request on its way. Quarantine is asked only now:
-// an earlier attempt that crashed an endpoint has its outcome in the claims.
-func (e *Entry) startOnce(ctx context.Context, req *port.Request) (*port.Response, error) {
+// routeOnceOnly routes a claimed request. Quarantine is checked only after the
+// claim: the outcome of an earlier attempt that crashed an endpoint is in the
+// claims and takes precedence.
+func (e *Entry) routeOnceOnly(ctx context.Context, req *port.Request) (*port.Response, error) {
 	if err := e.checkQuarantine(req); err != nil {
 		return nil, err
 	}
 	return e.route(ctx, req)
 }
 
-// passHome forwards a request to the home of its key, or says what is known of
-// a home that is gone. Only the home knows whether an earlier attempt ran, so a
-// home that can't be reached is MayHaveRun.
-func (e *Entry) passHome(ctx context.Context, req *port.Request, key claims.Key) (*port.Response, error) {
-	if address, ok := e.homeAddress(e.clock.Now(), key.Home); ok {
+// forwardToCoordinator forwards a request to the coordinator of its key. If
+// that incarnation is gone or unreachable, the answer comes from the claims
+// that it handed over. Only the coordinator knows whether an earlier attempt
+// ran, so without those claims the verdict is MayHaveRun.
+func (e *Entry) forwardToCoordinator(ctx context.Context, req *port.Request, key claims.Key) (*port.Response, error) {
+	if address, ok := e.coordinatorAddress(e.clock.Now(), key.Home); ok {
 		response, err := e.forward(ctx, address, port.Forward{Hop: port.HopHome, Request: req})
 		if !errors.Is(err, port.ErrPeerUnreachable) {
 			return response, err
@@ -103,43 +107,45 @@
 	if verdict.Of(err) != verdict.MayHaveRun || verdict.ReasonOf(err) != verdict.ReasonHomeLost {
 		return response, err
 	}
-	return e.askSuccessors(ctx, req, key, err)
+	return e.querySuccessors(ctx, req, key, err)
 }
 
-// homeAddress returns where the home of a key is reached while it lives.
-func (e *Entry) homeAddress(now time.Time, home claims.Home) (string, bool) {
+// coordinatorAddress returns the peer address of a key's coordinator while that
+// incarnation is live.
+func (e *Entry) coordinatorAddress(now time.Time, coordinator claims.Home) (string, bool) {
 	s := e.snapshot.Load()
-	member, ok := e.members.member(now, home.Entry)
-	if !ok || member.Incarnation != home.Incarnation {
+	member, ok := e.members.member(now, coordinator.Entry)
+	if !ok || member.Incarnation != coordinator.Incarnation {
 		return "", false
 	}
-	address, ok := s.entries[home.Entry]
+	address, ok := s.entries[coordinator.Entry]
 	return address.peer, ok
 }
 
-// askSuccessors asks the entries of the former home's place, which have its
-// claims after a planned stop. None of them can start the key.
-func (e *Entry) askSuccessors(ctx context.Context, req *port.Request, key claims.Key, lost error) (*port.Response, error) {
+// querySuccessors queries the entries of the former coordinator's place, which
+// have its claims after a planned stop. None of them can start the request.
+func (e *Entry) querySuccessors(ctx context.Context, req *port.Request, key claims.Key, lost error) (*port.Response, error) {
 	s := e.snapshot.Load()
-	former, ok := s.entries[key.Home.Entry]
+	coordinator, ok := s.entries[key.Home.Entry]
 	if !ok {
 		return nil, lost
 	}
-	for _, member := range e.members.live(e.clock.Now(), former.place) {
+	for _, member := range e.members.live(e.clock.Now(), coordinator.place) {
 		address, known := s.entries[member.Name]
 		if !known || member.Name == e.config.Name {
 			continue
 		}
 		response, err := e.forward(ctx, address.peer, port.Forward{Hop: port.HopHome, Request: req})
-		if !ignorant(err) {
+		if !lacksKeyRecord(err) {
 			return response, err
 		}
 	}
 	return nil, lost
 }
 
-// ignorant says whether err means that the asked entry knows nothing of a key.
-func ignorant(err error) bool {
+// lacksKeyRecord reports whether err means that the queried entry is
+// unreachable, failed, or has no record of the key.
+func lacksKeyRecord(err error) bool {
 	if errors.Is(err, port.ErrPeerUnreachable) {
 		return true
 	}
@@ -148,8 +154,9 @@
 	return verdict.Of(err) == verdict.MayHaveRun && unknown
 }
 
-// whole reads the rest of a large answer, so that its outcome is known.
-func whole(response *port.Response, err error) (*port.Response, error) {
+// readFully reads the rest of a streamed answer, so that the whole outcome can
+// be stored.
+func readFully(response *port.Response, err error) (*port.Response, error) {
 	if err != nil || response.Rest == nil {
 		return response, err
 	}
@@ -173,7 +180,7 @@
 	}
 }
 
-// fromOutcome turns a stored outcome into an answer.
+// fromOutcome converts a stored outcome into an answer.
 func fromOutcome(o claims.Outcome) (*port.Response, error) {
 	if o.Verdict != verdict.Ran {
 		return nil, verdict.NewError(o.Verdict, o.Reason, nil)
@@ -193,5 +200,5 @@
 
 // HandleHandOver implements port.PeerHandler.
 func (e *Entry) HandleHandOver(h claims.HandOver) {
-	e.claims.take(e.clock.Now(), h)
+	e.claims.importHandOver(e.clock.Now(), h)
 }
--- a/internal/app/entry/outbox.go
+++ b/internal/app/entry/outbox.go
@@ -8,14 +8,14 @@
 	"sassafrasreach/internal/port"
 )
 
-// outboxPeriod is how long announcements are gathered into one message.
+// outboxPeriod is how long announcements are batched into one message.
 const outboxPeriod = 50 * time.Millisecond
 
-// outbox gathers announcements for each peer; of one endpoint it keeps the
-// newest.
+// outbox batches announcements for each peer and keeps only the newest of each
+// endpoint.
 type outbox struct {
-	filled chan struct{} // something is queued
-	due    chan struct{} // it is to be sent at once
+	nonEmpty chan struct{} // signaled when something is queued
+	flushNow chan struct{} // signaled when it must be sent at once
 
 	mu     sync.Mutex
 	byPeer map[string]map[string]port.Announcement
@@ -23,9 +23,9 @@
 
 func newOutbox() *outbox {
 	return &outbox{
-		filled: make(chan struct{}, 1),
-		due:    make(chan struct{}, 1),
-		byPeer: make(map[string]map[string]port.Announcement),
+		nonEmpty: make(chan struct{}, 1),
+		flushNow: make(chan struct{}, 1),
+		byPeer:   make(map[string]map[string]port.Announcement),
 	}
 }
 
@@ -44,13 +44,13 @@
 	if !older {
 		batch[a.ID] = a
 	}
-	signal(o.filled)
+	signal(o.nonEmpty)
 }
 
-// wake sends what is queued at once.
-func (o *outbox) wake() { signal(o.due) }
+// flush makes outboxLoop send what is queued at once.
+func (o *outbox) flush() { signal(o.flushNow) }
 
-// take returns and forgets what is queued.
+// take removes and returns what is queued, by peer address and endpoint ID.
 func (o *outbox) take() map[string]map[string]port.Announcement {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -59,20 +59,20 @@
 	return taken
 }
 
-// outboxLoop passes announcements on, a while after the first one was queued or
-// at once for one that leaves.
+// outboxLoop sends announcements outboxPeriod after the first one was queued,
+// or at once after flush.
 func (e *Entry) outboxLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.outbox.filled:
+		case <-e.outbox.nonEmpty:
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(outboxPeriod):
-		case <-e.outbox.due:
+		case <-e.outbox.flushNow:
 		}
 		e.flushOutbox(ctx)
 	}
@@ -90,7 +90,8 @@
 	}
 }
 
-// signal makes a channel of capacity one ready.
+// signal sends on a channel of capacity one, unless a signal is pending
+// already.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/app/entry/own.go
+++ b/internal/app/entry/own.go
@@ -10,22 +10,22 @@
 	"sassafrasreach/internal/port"
 )
 
-// own admits a request to a group that this entry owns and sends it to an
-// endpoint. It never passes the request on.
-func (e *Entry) own(ctx context.Context, req *port.Request, key groupKey) (*port.Response, error) {
+// serveOwned admits a request to a group that this entry owns and sends it to
+// an endpoint. It never forwards the request to another entry.
+func (e *Entry) serveOwned(ctx context.Context, req *port.Request, key groupKey) (*port.Response, error) {
 	if err := e.checkDeadline(req); err != nil {
 		return nil, err
 	}
 	if !e.members.ownsSelf(e.clock.Now(), key) {
 		return nil, verdict.NewError(verdict.NotRun, verdict.ReasonNoOwner, nil)
 	}
-	crossing, err := e.cross(req, key)
+	crossing, err := e.admitCrossing(req, key)
 	if err != nil {
 		return nil, err
 	}
-	o := owned{
+	o := ownedRequest{
 		req:      req,
-		print:    fingerprintOf(req),
+		fp:       fingerprintOf(req),
 		group:    e.groups.get(key, e.admissionConfig),
 		crossing: crossing,
 	}
@@ -34,20 +34,21 @@
 	return response, err
 }
 
-// owned is a request to a group that this entry owns.
-type owned struct {
+// ownedRequest is a request to a group that this entry owns.
+type ownedRequest struct {
 	req *port.Request
-	// print is the request's fingerprint, worked out once for all attempts.
-	print fingerprint.Fingerprint
+	// fp is the request's fingerprint, computed once for all attempts.
+	fp    fingerprint.Fingerprint
 	group *group
 	// crossing is nil for a request that is served in its place of origin.
 	crossing *crossing
 }
 
 // tryEndpoints sends the request to an endpoint, and to a second one when the
-// first did not run it, or when it is idempotent and the first is late.
-func (e *Entry) tryEndpoints(ctx context.Context, o owned) (*port.Response, error) {
-	first, err := e.start(ctx, o, nil)
+// first did not run it, or when it is idempotent and the first lost its
+// connection, sent a bad answer, or is late.
+func (e *Entry) tryEndpoints(ctx context.Context, o ownedRequest) (*port.Response, error) {
+	first, err := e.startAttempt(ctx, o, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -61,20 +62,20 @@
 			return answer.Response, answer.Err
 		}
 	}
-	if answer.Err == nil || !e.mayRetryHere(o.req, answer.Err) {
+	if answer.Err == nil || !e.mayRetryEndpoint(o.req, answer.Err) {
 		return answer.Response, answer.Err
 	}
-	second, err := e.start(ctx, o, []string{first.endpoint})
+	second, err := e.startAttempt(ctx, o, []string{first.endpoint})
 	if err != nil {
-		return nil, moreCertain(answer.Err, err)
+		return nil, mergeFailures(answer.Err, err)
 	}
 	last := <-second.answer
-	return last.Response, moreCertain(answer.Err, last.Err)
+	return last.Response, mergeFailures(answer.Err, last.Err)
 }
 
-// mayRetryHere says whether a failed request may go to a second endpoint of the
-// group.
-func (e *Entry) mayRetryHere(req *port.Request, err error) bool {
+// mayRetryEndpoint reports whether a failed request may be sent to a second
+// endpoint of the group.
+func (e *Entry) mayRetryEndpoint(req *port.Request, err error) bool {
 	switch verdict.ReasonOf(err) {
 	case verdict.ReasonShed, verdict.ReasonDial:
 		return verdict.Of(err) == verdict.NotRun
@@ -85,9 +86,10 @@
 	}
 }
 
-// moreCertain returns the failure that a caller is to be told of two attempts:
-// the second, unless only the first may have run. Without a first one it is nil.
-func moreCertain(first, second error) error {
+// mergeFailures returns the failure that is reported to the caller after two
+// attempts: the second, unless only the first may have run. first is nil if no
+// attempt failed before; second is nil if that attempt succeeded.
+func mergeFailures(first, second error) error {
 	if first != nil && verdict.Of(first) != verdict.NotRun && verdict.Of(second) == verdict.NotRun {
 		return first
 	}
@@ -95,9 +97,10 @@
 }
 
 // awaitHedged waits for the first attempt. When its answer is late it starts a
-// second one elsewhere and takes the better of both; hedged says so.
-func (e *Entry) awaitHedged(ctx context.Context, o owned, first *attempt) (port.Answer, bool) {
-	late := time.NewTimer(o.group.lateAfter())
+// second attempt at another endpoint, within the retry budget, and returns the
+// first success of both. The bool reports whether a second attempt was started.
+func (e *Entry) awaitHedged(ctx context.Context, o ownedRequest, first *attempt) (port.Answer, bool) {
+	late := time.NewTimer(o.group.hedgeDelay())
 	defer late.Stop()
 	select {
 	case answer := <-first.answer:
@@ -107,15 +110,16 @@
 	if !e.retries.withdraw(e.clock.Now()) {
 		return <-first.answer, false
 	}
-	second, err := e.start(ctx, o, []string{first.endpoint})
+	second, err := e.startAttempt(ctx, o, []string{first.endpoint})
 	if err != nil {
 		return <-first.answer, false
 	}
-	return better(first, second), true
+	return firstSuccess(first, second), true
 }
 
-// better returns the first good answer of two attempts and cancels the other.
-func better(a, b *attempt) port.Answer {
+// firstSuccess returns the first successful answer of two attempts and cancels
+// the other attempt. If both fail it returns the merged failure.
+func firstSuccess(a, b *attempt) port.Answer {
 	other := b
 	var answer port.Answer
 	select {
@@ -125,7 +129,7 @@
 	}
 	if answer.Err != nil {
 		last := <-other.answer
-		last.Err = moreCertain(answer.Err, last.Err)
+		last.Err = mergeFailures(answer.Err, last.Err)
 		return last
 	}
 	other.cancel()
@@ -133,7 +137,7 @@
 	return answer
 }
 
-// discard closes the answer of an attempt that nobody waits for.
+// discard closes the answer of an attempt whose result is not used.
 func discard(a *attempt) {
 	answer := <-a.answer
 	if answer.Err == nil && answer.Response.Rest != nil {
@@ -141,16 +145,16 @@
 	}
 }
 
-// attempt is one request at one endpoint.
+// attempt is one try of a request, at an endpoint or through another entry.
 type attempt struct {
 	endpoint string
-	answer   chan port.Answer // buffered; gets exactly one answer
+	answer   chan port.Answer // buffered; receives exactly one answer
 	cancel   context.CancelFunc
 }
 
-// start admits the request and hands it to a worker. Every error is a
+// startAttempt admits the request and submits it to a worker. Every error is a
 // *verdict.Error with NotRun.
-func (e *Entry) start(ctx context.Context, o owned, exclude []string) (*attempt, error) {
+func (e *Entry) startAttempt(ctx context.Context, o ownedRequest, exclude []string) (*attempt, error) {
 	ticket := admission.Ticket{
 		ID:       o.group.ticket.Add(1),
 		Deadline: o.req.Deadline,
--- a/internal/app/entry/pull.go
+++ b/internal/app/entry/pull.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// pullPeriod is the time between looks for a newer document.
+	// pullPeriod is the time between checks for a newer document.
 	pullPeriod = 500 * time.Millisecond
-	// backupPullPeriod is how often an entry asks control VMs itself when
-	// another entry of its place does so each pullPeriod.
+	// backupPullPeriod is the time between an entry's own queries to control
+	// VMs while another entry of its place sends one each pullPeriod.
 	backupPullPeriod = 5 * time.Second
-	// cutOffGrace is how long a starting entry waits for a control quorum
-	// before it takes the newest version of the peers in reach.
-	cutOffGrace = 2 * time.Second
+	// bootstrapGrace is how long a starting entry waits for a control quorum
+	// before it takes the newest version that it can fetch without one.
+	bootstrapGrace = 2 * time.Second
 )
 
 // errDigest means that a document doesn't match its digest.
 var errDigest = errors.New("document doesn't match its digest")
 
-// puller is the state of the search for newer documents.
+// puller is the state of the document pulls.
 type puller struct {
-	mu      sync.Mutex // serialises apply
-	started time.Time
-	lastOwn time.Time // when this entry last asked a control VM itself
-	next    int       // index of the control VM to ask
-	lost    bool      // no control VM answered last time
+	mu              sync.Mutex // serialises apply
+	started         time.Time
+	lastControlPull time.Time // when this entry last queried a control VM itself
+	next            int       // index of the control VM to query next
+	controlLost     bool      // the last pull found no control quorum
 }
 
-// pullLoop looks for newer documents.
+// pullLoop fetches newer documents each pullPeriod.
 func (e *Entry) pullLoop(ctx context.Context) {
 	e.pull.started = e.clock.Now()
 	e.pullOnce(ctx)
@@ -51,13 +51,14 @@
 	}
 	e.pullFromPeer(ctx)
 	now := e.clock.Now()
-	if e.speaksForPlace(now) || now.Sub(e.pull.lastOwn) >= backupPullPeriod {
-		e.pull.lastOwn = now
+	if e.representsPlace(now) || now.Sub(e.pull.lastControlPull) >= backupPullPeriod {
+		e.pull.lastControlPull = now
 		e.pullFromControl(ctx)
 	}
 }
 
-// pullFromPeer asks the nearest entry that has a newer version.
+// pullFromPeer fetches the newest version that a live member reports, from the
+// nearest member that has it.
 func (e *Entry) pullFromPeer(ctx context.Context) {
 	now := e.clock.Now()
 	var (
@@ -84,8 +85,8 @@
 	return e.peers.FetchDocument(ctx, address, have)
 }
 
-// pullFromControl asks one control VM, and the next ones when it doesn't
-// answer. It reports the entries of this place.
+// pullFromControl queries one control VM, and the next ones until an answer is
+// confirmed by a quorum. Each query reports the entries of this place.
 func (e *Entry) pullFromControl(ctx context.Context) {
 	query := port.FetchQuery{Have: e.version(), Entries: e.reports(e.clock.Now())}
 	for range e.config.Control {
@@ -97,42 +98,43 @@
 			e.pull.next++
 		}
 		if err == nil {
-			e.takeAnswer(ctx, answer)
+			e.applyAnswer(ctx, answer)
 		}
 		if err == nil && answer.Quorum {
-			e.noteControl(ctx, false)
+			e.setControlLost(ctx, false)
 			return
 		}
 	}
-	e.noteControl(ctx, true)
+	e.setControlLost(ctx, true)
 }
 
-func (e *Entry) takeAnswer(ctx context.Context, answer port.FetchAnswer) {
+func (e *Entry) applyAnswer(ctx context.Context, answer port.FetchAnswer) {
 	if len(answer.Config.Document) > 0 {
 		e.apply(ctx, answer.Config)
 	}
-	rows := e.suspects.liftByOrder(e.clock.Now(), answer.LiftedQuarantines)
+	rows := e.suspects.liftByOperator(e.clock.Now(), answer.LiftedQuarantines)
 	if len(rows) == 0 {
 		return
 	}
 	e.meterQuarantined()
-	e.spreadLater(rows)
+	e.broadcastLater(rows)
 }
 
-// noteControl logs when the control quorum is lost or found again.
-func (e *Entry) noteControl(ctx context.Context, lost bool) {
-	if lost == e.pull.lost {
+// setControlLost records whether the control quorum is lost and logs the
+// change.
+func (e *Entry) setControlLost(ctx context.Context, controlLost bool) {
+	if controlLost == e.pull.controlLost {
 		return
 	}
-	e.pull.lost = lost
-	if lost {
+	e.pull.controlLost = controlLost
+	if controlLost {
 		event.Log(ctx, e.logger, event.ControlLost)
 		return
 	}
 	event.Log(ctx, e.logger, event.ControlFound)
 }
 
-// apply puts a document in force if it is newer than the present one.
+// apply puts a document in force if it is valid and newer than the present one.
 func (e *Entry) apply(ctx context.Context, config port.Config) bool {
 	e.pull.mu.Lock()
 	defer e.pull.mu.Unlock()
@@ -146,7 +148,7 @@
 		return false
 	}
 	if e.snapshot.Load() == nil {
-		e.learn(ctx, s)
+		e.fetchQuarantine(ctx, s)
 	}
 	now := e.clock.Now()
 	e.ledger.setDocument(now, s)
@@ -164,7 +166,7 @@
 	if s.entries[e.config.Name].place != e.config.Place {
 		event.Log(ctx, e.logger, event.NotListed, slog.String("place", e.config.Place))
 	}
-	e.wakeBeat()
+	e.wakeHeartbeat()
 	return true
 }
 
@@ -184,17 +186,17 @@
 	return s.config.Version
 }
 
-// speaksForPlace says whether this entry asks control VMs for its place.
-func (e *Entry) speaksForPlace(now time.Time) bool {
-	speaks := true
+// representsPlace reports whether this entry queries control VMs for its place.
+func (e *Entry) representsPlace(now time.Time) bool {
+	represents := true
 	e.members.with(func(t *membership.Table) {
-		speaker, ok := t.Representative(now, e.config.Place)
-		speaks = !ok || speaker.Name == e.config.Name
+		representative, ok := t.Representative(now, e.config.Place)
+		represents = !ok || representative.Name == e.config.Name
 	})
-	return speaks
+	return represents
 }
 
-// reports tells of this entry and of the live ones of its place.
+// reports describes this entry and the live ones of its place to control VMs.
 func (e *Entry) reports(now time.Time) []port.EntryReport {
 	self := port.EntryReport{
 		Name:        e.config.Name,
--- a/internal/app/entry/retry.go
+++ b/internal/app/entry/retry.go
@@ -7,7 +7,7 @@
 	"sassafrasreach/internal/core/admission"
 )
 
-// retryBudget guards the entry's budget of retries and second tries.
+// retryBudget guards the entry's budget of retries and hedged attempts.
 type retryBudget struct {
 	mu     sync.Mutex
 	budget *admission.RetryBudget
--- a/internal/app/entry/route.go
+++ b/internal/app/entry/route.go
@@ -15,21 +15,24 @@
 )
 
 const (
-	// maxPlaces is the number of places that one request is offered to.
+	// maxPlaces bounds the places at which one request is tried before it is
+	// refused or retried.
 	maxPlaces = 4
-	// ownerRetryDelay is the wait before a group without an owner is tried again.
+	// ownerRetryDelay is the delay before a request to a group without an owner
+	// is retried.
 	ownerRetryDelay = 50 * time.Millisecond
-	// peerGrace is how much longer than the deadline a forwarded request is
-	// waited for, so that the owner's own verdict arrives.
+	// peerGrace is added to the deadline of a forwarded request at the
+	// forwarding entry, so that the verdict of the owner itself arrives.
 	peerGrace = 50 * time.Millisecond
 )
 
-// errNoChoice means that no place may serve the request.
-var errNoChoice = errors.New("no place may serve the request")
+// errNoEligiblePlace means that no place may serve the request.
+var errNoEligiblePlace = errors.New("no place may serve the request")
 
-// route sends a request to the first place whose group admits it. While a
-// group has no owner, or this entry knows of none yet, and no other place admits
-// the request, it tries again until too little time is left.
+// route sends a request to the first place whose group admits it. While a group
+// has no owner, or none that this entry knows or reaches, and no other place
+// admits the request, it retries until less than twice ownerRetryDelay is left
+// before the deadline.
 func (e *Entry) route(ctx context.Context, req *port.Request) (*port.Response, error) {
 	for {
 		response, err := e.routeOnce(ctx, req)
@@ -42,8 +45,8 @@
 	}
 }
 
-// routeOnce offers the request to the places in their order until one runs it.
-// It goes on after NotRun only, unless the request is idempotent.
+// routeOnce tries the places in steering order until one runs the request. Only
+// NotRun lets it try the next place, unless the request is idempotent.
 func (e *Entry) routeOnce(ctx context.Context, req *port.Request) (*port.Response, error) {
 	s, err := e.current()
 	if err != nil {
@@ -54,19 +57,19 @@
 	}
 	choices := s.table.Rank(req.Service, req.Origin, view{e.members, e.clock.Now()})
 	if len(choices) == 0 {
-		return nil, verdict.NewError(verdict.NotRun, verdict.ReasonNoEndpoint, e.noChoice(s, req.Service))
+		return nil, verdict.NewError(verdict.NotRun, verdict.ReasonNoEndpoint, e.emptyRankingError(s, req.Service))
 	}
 	steering.Spread(choices, rand.Uint64())
 	var failure error
 	ownerMissing := false
 	for _, choice := range choices[:min(len(choices), maxPlaces)] {
-		response, err := e.toOwner(ctx, req, groupKey{req.Service, choice.Place})
+		response, err := e.sendToOwner(ctx, req, groupKey{req.Service, choice.Place})
 		if err == nil {
 			return response, nil
 		}
-		failure = moreCertain(failure, err)
+		failure = mergeFailures(failure, err)
 		ownerMissing = ownerMissing || isOwnerMissing(err)
-		if !e.mayTryAgain(req, err) {
+		if !e.mayRetryElsewhere(req, err) {
 			return nil, failure
 		}
 	}
@@ -77,26 +80,29 @@
 	return nil, failure
 }
 
-// noChoice tells why no place may serve a request: this entry hasn't been up for
-// long enough to have heard of every group, or a group with endpoints has no
-// owner, both of which pass; or there is nothing that could answer.
-func (e *Entry) noChoice(s *snapshot, service string) error {
+// emptyRankingError explains why no place may serve a request. Two causes are
+// temporary: this entry has started too recently to know of every group, or a
+// group with endpoints has no owner. Otherwise there is no endpoint that could
+// answer.
+func (e *Entry) emptyRankingError(s *snapshot, service string) error {
 	now := e.clock.Now()
 	if !e.members.settled(now) {
-		return fmt.Errorf("%w: %w", errOwnerMissing, errNoChoice)
+		return fmt.Errorf("%w: %w", errOwnerMissing, errNoEligiblePlace)
 	}
 	def, _ := s.table.Service(service)
 	for _, place := range def.Places {
-		if e.members.orphaned(now, groupKey{service, place}) {
-			return fmt.Errorf("%w: %w", errOwnerMissing, errNoChoice)
+		if e.members.ownerless(now, groupKey{service, place}) {
+			return fmt.Errorf("%w: %w", errOwnerMissing, errNoEligiblePlace)
 		}
 	}
-	return errNoChoice
+	return errNoEligiblePlace
 }
 
-// mayTryAgain says whether a failed request may go to another place: always
-// when it did not run, and within the retry budget when it is idempotent.
-func (e *Entry) mayTryAgain(req *port.Request, err error) bool {
+// mayRetryElsewhere reports whether a failed request may be sent to another
+// place before its deadline: when it did not run, or within the retry budget
+// when it is idempotent. A request that was quarantined or canceled, or that
+// lost its connection, is never sent to another place.
+func (e *Entry) mayRetryElsewhere(req *port.Request, err error) bool {
 	if e.remaining(req) <= 0 {
 		return false
 	}
@@ -104,7 +110,8 @@
 	case verdict.ReasonQuarantined, verdict.ReasonCanceled:
 		return false
 	case verdict.ReasonConnection:
-		// It may have crashed the endpoint; only the owner may try it again.
+		// The request may have crashed the endpoint; only the owner may retry
+		// it.
 		return false
 	}
 	if verdict.Of(err) == verdict.NotRun {
@@ -113,20 +120,20 @@
 	return !req.OnceOnly && e.retries.withdraw(e.clock.Now())
 }
 
-// errOwnerMissing marks the failure of a request for which some group's owner
-// wasn't found or reached.
+// errOwnerMissing marks the failure of a request for which the owner of some
+// group was unknown or unreachable.
 var errOwnerMissing = errors.New("a group has no owner now")
 
 func isOwnerMissing(err error) bool {
 	return verdict.ReasonOf(err) == verdict.ReasonNoOwner || errors.Is(err, port.ErrPeerUnreachable)
 }
 
-// toOwner sends the request to the owner of a group, which is this entry or
+// sendToOwner sends the request to the owner of a group, which is this entry or
 // another one.
-func (e *Entry) toOwner(ctx context.Context, req *port.Request, key groupKey) (*port.Response, error) {
+func (e *Entry) sendToOwner(ctx context.Context, req *port.Request, key groupKey) (*port.Response, error) {
 	now := e.clock.Now()
 	if e.members.ownsSelf(now, key) {
-		return e.own(ctx, req, key)
+		return e.serveOwned(ctx, req, key)
 	}
 	owner, ok := e.members.owner(now, key)
 	if !ok || owner.Name == e.config.Name {
@@ -137,30 +144,31 @@
 		return nil, verdict.NewError(verdict.NotRun, verdict.ReasonNoOwner, nil)
 	}
 	if req.OnceOnly {
-		return e.forward(ctx, address.peer, ownerForward(req, key, false))
+		return e.forward(ctx, address.peer, newOwnerForward(req, key, false))
 	}
 	return e.forwardHedged(ctx, address.peer, req, key)
 }
 
-// ownerForward gives each attempt an ID of its own, by which the owner starts
-// it once only.
-func ownerForward(req *port.Request, key groupKey, fresh bool) port.Forward {
-	one := *req
-	one.ID = cryptorand.Text()
-	return port.Forward{Hop: port.HopOwner, Place: key.place, Request: &one, Fresh: fresh}
+// newOwnerForward gives each attempt an ID of its own, by which the owner
+// deduplicates it.
+func newOwnerForward(req *port.Request, key groupKey, fresh bool) port.Forward {
+	attempt := *req
+	attempt.ID = cryptorand.Text()
+	return port.Forward{Hop: port.HopOwner, Place: key.place, Request: &attempt, Fresh: fresh}
 }
 
-// forwardLate is how many times later than its owner another entry takes an
-// answer for late, so that the owner tries a second endpoint first.
-const forwardLate = 2
+// forwardHedgeFactor is how many hedge delays another entry than the owner
+// waits before it hedges, so that the owner tries a second endpoint first.
+const forwardHedgeFactor = 2
 
 // forwardHedged forwards an idempotent request. When its answer is late it
-// tries again over a new connection, since the first may have gone silent.
+// forwards it again over a new connection, since the first one may be
+// unresponsive.
 func (e *Entry) forwardHedged(ctx context.Context, address string, req *port.Request, key groupKey) (*port.Response, error) {
 	g := e.groups.get(key, e.admissionConfig)
-	begun := e.clock.Now()
-	first := e.startForward(ctx, address, ownerForward(req, key, false))
-	late := time.NewTimer(forwardLate * g.lateAfter())
+	start := e.clock.Now()
+	first := e.startForward(ctx, address, newOwnerForward(req, key, false))
+	late := time.NewTimer(forwardHedgeFactor * g.hedgeDelay())
 	defer late.Stop()
 	var answer port.Answer
 	select {
@@ -170,17 +178,17 @@
 			answer = <-first.answer
 			break
 		}
-		second := e.startForward(ctx, address, ownerForward(req, key, true))
-		answer = better(first, second)
+		second := e.startForward(ctx, address, newOwnerForward(req, key, true))
+		answer = firstSuccess(first, second)
 	}
 	if answer.Err == nil {
-		g.observe(e.clock.Now().Sub(begun))
+		g.recordLatency(e.clock.Now().Sub(start))
 		e.retries.deposit()
 	}
 	return answer.Response, answer.Err
 }
 
-// startForward forwards in the background.
+// startForward starts an attempt that forwards in the background.
 func (e *Entry) startForward(ctx context.Context, address string, f port.Forward) *attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &attempt{answer: make(chan port.Answer, 1), cancel: cancel}
@@ -191,8 +199,8 @@
 	return a
 }
 
-// forward passes a request to another entry, with a little more time than its
-// deadline.
+// forward sends a request to another entry and waits for its answer until
+// peerGrace after the deadline.
 func (e *Entry) forward(ctx context.Context, address string, f port.Forward) (*port.Response, error) {
 	ctx, cancel := withGrace(ctx, f.Request.Deadline.Add(peerGrace))
 	response, err := e.peers.Forward(ctx, address, f)
@@ -204,8 +212,8 @@
 	return response, nil
 }
 
-// withGrace returns a context that ends at deadline, or when ctx is cancelled
-// but not when its own deadline passes.
+// withGrace returns a context that ends at deadline, or when ctx is canceled,
+// but not when the deadline of ctx passes.
 func withGrace(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	graced, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/app/entry/route_test.go
+++ b/internal/app/entry/route_test.go
@@ -10,21 +10,22 @@
 	"sassafrasreach/internal/core/verdict"
 )
 
-// TestEmptyRanking asks an entry for which no place may serve a request: it
-// waits while it hasn't settled, and tells the caller at once when it has.
+// TestEmptyRanking sends a request that no place may serve. Right after its
+// start the entry may not know of every group yet, so it retries; later it must
+// fail the request at once.
 func TestEmptyRanking(t *testing.T) {
-	for _, up := range []time.Duration{100 * time.Millisecond, settle} {
+	for _, up := range []time.Duration{100 * time.Millisecond, settleTime} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, configOf(t, 1))
-			e := w.start("a1", 1)
+			tc := newTestCluster(t, configOf(t, 1))
+			e := tc.start("a1", 1)
 			time.Sleep(up)
 			begun := time.Now()
-			answer := serve(e, w.request())
+			answer := serve(e, tc.request())
 			is.Equal(answer.Verdict(), verdict.NotRun)
 			is.Equal(verdict.ReasonOf(answer.Err), verdict.ReasonNoEndpoint)
-			is.Equal(time.Since(begun) == 0, up == settle)
-			is.True(time.Since(begun) <= patience)
+			is.Equal(time.Since(begun) == 0, up == settleTime)
+			is.True(time.Since(begun) <= requestTimeout)
 		})
 	}
 }
--- a/internal/app/entry/run.go
+++ b/internal/app/entry/run.go
@@ -11,21 +11,22 @@
 	"sassafrasreach/internal/port"
 )
 
-// admitRun waits for a slot and for leave of quarantine. While a request that
-// is under suspicion runs elsewhere, the slot is given back.
-func (e *Entry) admitRun(ctx context.Context, o owned, t admission.Ticket) (*endpointRun, error) {
+// admitRun waits for a slot and for admission by the quarantine. While as many
+// runs of a suspected request are in progress as the quarantine allows, it
+// releases the slot, waits for a change, and requests a slot again.
+func (e *Entry) admitRun(ctx context.Context, o ownedRequest, t admission.Ticket) (*endpointRun, error) {
 	for {
 		grant, err := o.group.admit(ctx, e.clock, t)
 		if err != nil {
 			return nil, err
 		}
-		run := &endpointRun{entry: e, owned: o, grant: grant, granted: e.clock.Now()}
-		leave, changed := e.suspects.started(run.granted, grant.Endpoint, o)
-		if leave == quarantine.Admitted {
+		run := &endpointRun{entry: e, ownedRequest: o, grant: grant, granted: e.clock.Now()}
+		decision, changed := e.suspects.startRun(run.granted, grant.Endpoint, o)
+		if decision == quarantine.Admitted {
 			return run, nil
 		}
 		run.end(admission.Result{Kind: admission.Canceled})
-		if leave == quarantine.Refused {
+		if decision == quarantine.Refused {
 			return nil, verdict.NewError(verdict.NotRun, verdict.ReasonQuarantined, errSuspected)
 		}
 		select {
@@ -36,37 +37,38 @@
 	}
 }
 
-// endpointRun is a granted request on its way to an endpoint and back.
+// endpointRun is an attempt of an owned request that holds a slot of an
+// endpoint.
 type endpointRun struct {
-	owned
+	ownedRequest
 	entry   *Entry
 	grant   admission.Grant
 	granted time.Time
 }
 
-// abandon ends a run that was never sent.
+// abandon ends a run whose request was never sent.
 func (r *endpointRun) abandon() {
-	r.entry.runNotStarted(r.grant.Endpoint, r.owned)
+	r.entry.recordRunNotStarted(r.grant.Endpoint, r.ownedRequest)
 	r.end(admission.Result{Kind: admission.Canceled})
 }
 
-// end frees the slot.
+// end releases the slot and reports the result to admission.
 func (r *endpointRun) end(result admission.Result) {
 	r.group.done(r.entry.clock.Now(), r.grant.Ticket, result)
 }
 
-// call sends the request and takes in what its end shows. The slot of a
-// streamed answer is freed when its body is closed.
+// call sends the request and records how the run ended. The slot of a streamed
+// answer is released when its body is closed.
 func (r *endpointRun) call(ctx context.Context, cancel context.CancelFunc) port.Answer {
 	e := r.entry
-	if err := e.checkLive(ctx, r.req); err != nil {
+	if err := e.checkActive(ctx, r.req); err != nil {
 		cancel()
 		r.abandon()
 		return port.Answer{Err: err}
 	}
 	response, err := r.send(ctx)
 	took := e.clock.Now().Sub(r.granted)
-	e.runEnded(r.grant.Endpoint, r.owned, err)
+	e.recordRunEnd(r.grant.Endpoint, r.ownedRequest, err)
 	result := admission.Result{Kind: resultKind(ctx, err), Latency: took}
 	if err == nil && response.Rest != nil {
 		response.Rest = &closer{ReadCloser: response.Rest, after: func() {
@@ -83,22 +85,22 @@
 	return port.Answer{Response: response, Err: err}
 }
 
-// send carries the request to the endpoint, through the gate of its rules if it
-// crosses to another place.
+// send sends the request to the endpoint. A crossing request passes the gate of
+// its rules right before it is written.
 func (r *endpointRun) send(ctx context.Context) (*port.Response, error) {
 	endpoints := r.entry.endpoints
 	if r.crossing == nil {
 		return endpoints.Call(ctx, r.grant.Endpoint, r.req, nil)
 	}
-	gate := &sending{crossing: r.crossing}
+	gate := &attemptGate{crossing: r.crossing}
 	response, err := endpoints.Call(ctx, r.grant.Endpoint, r.req, gate)
 	gate.end(err)
 	return response, err
 }
 
-// checkLive refuses a request whose deadline has passed or whose caller went
-// away while it waited for a worker.
-func (e *Entry) checkLive(ctx context.Context, req *port.Request) error {
+// checkActive refuses a request whose deadline passed or whose caller canceled
+// it while it waited for a worker.
+func (e *Entry) checkActive(ctx context.Context, req *port.Request) error {
 	if err := e.checkDeadline(req); err != nil {
 		return err
 	}
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// resultKind classes the end of a run for admission.
+// resultKind classifies the end of a run for admission.
 func resultKind(ctx context.Context, err error) admission.ResultKind {
 	if err == nil {
 		return admission.OK
--- a/internal/app/entry/serve.go
+++ b/internal/app/entry/serve.go
@@ -32,7 +32,7 @@
 	return e.route(ctx, req)
 }
 
-// HandleForward serves a request that another entry passed on.
+// HandleForward serves a request that another entry forwarded.
 func (e *Entry) HandleForward(ctx context.Context, f port.Forward) (*port.Response, error) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -51,8 +51,9 @@
 	}
 }
 
-// keyedRefusal is the failure of a request that is refused before the home of
-// its key was asked: other copies of it may have run.
+// keyedRefusal is the failure of a request that is refused before the
+// coordinator of its key was queried. With a key it is MayHaveRun, since other
+// copies of the request may have run.
 func keyedRefusal(req *port.Request, err error) error {
 	if req.Key == "" {
 		return err
@@ -60,16 +61,16 @@
 	return verdict.NewError(verdict.MayHaveRun, verdict.ReasonOf(err), err)
 }
 
-// handleOwner admits a forwarded request once, however often it arrives.
+// handleOwner admits a forwarded attempt once, however often it is delivered.
 func (e *Entry) handleOwner(ctx context.Context, f port.Forward) (*port.Response, error) {
-	if !e.attempts.first(e.clock.Now(), f.Request.ID) {
+	if !e.attempts.recordFirst(e.clock.Now(), f.Request.ID) {
 		return nil, verdict.NewError(verdict.MayHaveRun, verdict.ReasonPeer, errAttemptRepeated)
 	}
-	return e.own(ctx, f.Request, groupKey{f.Request.Service, f.Place})
+	return e.serveOwned(ctx, f.Request, groupKey{f.Request.Service, f.Place})
 }
 
-// checkDeadline refuses a request whose deadline has passed, as after a freeze
-// of this process.
+// checkDeadline refuses a request whose deadline has passed, for instance while
+// this process was suspended.
 func (e *Entry) checkDeadline(req *port.Request) error {
 	if e.clock.Now().Before(req.Deadline) {
 		return nil
--- a/internal/app/entry/snapshot.go
+++ b/internal/app/entry/snapshot.go
@@ -7,8 +7,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// snapshot is one version of the document, prepared for look-ups. It is never
-// changed.
+// snapshot is one version of the document, indexed for look-ups. It is
+// immutable.
 type snapshot struct {
 	config  port.Config
 	doc     *document.Document
@@ -18,20 +18,22 @@
 	regions map[string]regionOfPlace
 }
 
-// regionOfPlace is what a place takes from its region.
+// regionOfPlace holds what a place inherits from its region.
 type regionOfPlace struct {
 	name           string
 	reservePercent int
 }
 
-// entryAddress is where an entry is reached.
+// entryAddress holds the place of an entry and the IP:ports where it serves
+// callers and peers.
 type entryAddress struct {
 	place  string
 	caller string
 	peer   string
 }
 
-// newSnapshot prepares a document; the error tells what is wrong with it.
+// newSnapshot parses and indexes a document. It returns an error if the
+// document is invalid.
 func newSnapshot(config port.Config) (*snapshot, error) {
 	doc, err := document.ParseValid(config.Document)
 	if err != nil {
--- a/internal/app/entry/spread.go
+++ b/internal/app/entry/spread.go
@@ -10,107 +10,112 @@
 )
 
 const (
-	// spreadLimit bounds how long a caller waits while the entries that are
-	// heard of are told of its request.
-	spreadLimit = 3 * peerTimeout
-	// spreadRetry is the wait after a message that failed at once.
-	spreadRetry = 50 * time.Millisecond
-	// maxSilentTold bounds the entries that aren't heard of and told at once.
-	maxSilentTold = 4
+	// broadcastTimeout bounds how long a caller waits until the live entries
+	// have acknowledged the rows about its request.
+	broadcastTimeout = 3 * peerTimeout
+	// broadcastRetryDelay is the delay before a failed message is sent again,
+	// since it may have failed at once.
+	broadcastRetryDelay = 50 * time.Millisecond
+	// maxUnreachableSends bounds the entries that are not live and are sent
+	// messages at the same time.
+	maxUnreachableSends = 4
 )
 
-// tell sends what a peer is still to be told, one message at a time so that the
-// rows keep their order. It says whether nothing is left.
-func (e *Entry) tell(ctx context.Context, u *untold) bool {
+// sendQueued sends the queued rows of a peer, one message at a time so that the
+// rows stay in order. It reports whether the peer has acknowledged all of them.
+func (e *Entry) sendQueued(ctx context.Context, q *peerQueue) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	select {
-	case u.turn <- struct{}{}:
-		defer func() { <-u.turn }()
+	case q.sending <- struct{}{}:
+		defer func() { <-q.sending }()
 	case <-ctx.Done():
 		return false
 	}
-	for !u.empty(e.clock.Now()) {
-		rows, last := u.message(e.clock.Now())
-		if _, err := e.peers.Quarantine(ctx, u.address, rows); err != nil {
+	for !q.empty(e.clock.Now()) {
+		rows, last := q.message(e.clock.Now())
+		if _, err := e.peers.Quarantine(ctx, q.address, rows); err != nil {
 			return false
 		}
-		u.acknowledged(last)
+		q.acknowledge(last)
 	}
 	return true
 }
 
-// spread keeps the rows for every other entry of the document and tells them at
-// once. It waits until those that are heard of know, for spreadLimit at most;
-// spreadLoop goes on with the others.
-func (e *Entry) spread(rows []port.QuarantineRow) {
+// broadcast queues the rows for every other entry of the document and sends
+// them at once. It waits until the live entries have acknowledged them, for
+// broadcastTimeout at most; broadcastLoop sends again what is left.
+func (e *Entry) broadcast(rows []port.QuarantineRow) {
 	if len(rows) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), spreadLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), broadcastTimeout)
 	defer cancel()
-	var told sync.WaitGroup
-	for _, u := range e.queueRows(rows) {
-		told.Go(func() {
-			for !e.tell(ctx, u) && e.hears(u.name) && wait.For(ctx, spreadRetry) {
+	var sends sync.WaitGroup
+	for _, q := range e.queueForPeers(rows) {
+		sends.Go(func() {
+			for !e.sendQueued(ctx, q) && e.isLive(q.name) && wait.For(ctx, broadcastRetryDelay) {
 			}
 		})
 	}
-	told.Wait()
+	sends.Wait()
 }
 
-// spreadLater has the rows told by spreadLoop.
-func (e *Entry) spreadLater(rows []port.QuarantineRow) {
-	if len(e.queueRows(rows)) > 0 {
-		signal(e.spreader.queued)
+// broadcastLater queues the rows and leaves the sending to broadcastLoop.
+func (e *Entry) broadcastLater(rows []port.QuarantineRow) {
+	if len(e.queueForPeers(rows)) > 0 {
+		signal(e.broadcaster.queued)
 	}
 }
 
-// queueRows keeps the rows for every other entry of the document.
-func (e *Entry) queueRows(rows []port.QuarantineRow) []*untold {
+// queueForPeers queues the rows for every other entry of the document and
+// returns the queues.
+func (e *Entry) queueForPeers(rows []port.QuarantineRow) []*peerQueue {
 	s := e.snapshot.Load()
 	if s == nil || len(rows) == 0 {
 		return nil
 	}
 	now := e.clock.Now()
-	var all []*untold
+	var all []*peerQueue
 	for name, address := range s.entries {
 		if name != e.config.Name {
-			u := e.spreader.peer(name, address.peer)
-			u.add(now, rows)
-			all = append(all, u)
+			q := e.broadcaster.peer(name, address.peer)
+			q.add(now, rows)
+			all = append(all, q)
 		}
 	}
 	return all
 }
 
-// spreadLoop tells the peers what they haven't acknowledged.
-func (e *Entry) spreadLoop(ctx context.Context) {
-	wait.EachOr(ctx, beatPeriod, e.spreader.queued, func() { e.spreadOnce(ctx) })
+// broadcastLoop sends the peers the rows that they have not acknowledged.
+func (e *Entry) broadcastLoop(ctx context.Context) {
+	wait.EachOr(ctx, heartbeatPeriod, e.broadcaster.queued, func() { e.broadcastPending(ctx) })
 }
 
-// spreadOnce tells all peers that are heard of, and a few of the others.
-func (e *Entry) spreadOnce(ctx context.Context) {
+// broadcastPending sends the queued rows to all live peers and to a few of the
+// others.
+func (e *Entry) broadcastPending(ctx context.Context) {
 	s := e.snapshot.Load()
 	if s == nil {
 		return
 	}
-	var told sync.WaitGroup
-	silent := 0
-	for _, u := range e.spreader.waiting(e.clock.Now(), s.entries) {
-		if !e.hears(u.name) {
-			silent++
-			if silent > maxSilentTold {
+	var sends sync.WaitGroup
+	unreachable := 0
+	for _, q := range e.broadcaster.pending(e.clock.Now(), s.entries) {
+		if !e.isLive(q.name) {
+			unreachable++
+			if unreachable > maxUnreachableSends {
 				continue
 			}
 		}
-		told.Go(func() { e.tell(ctx, u) })
+		sends.Go(func() { e.sendQueued(ctx, q) })
 	}
-	told.Wait()
+	sends.Wait()
 }
 
-// hears says whether an entry is heard of.
-func (e *Entry) hears(name string) bool {
+// isLive reports whether heartbeats show an entry to be live, or leaving and
+// still reachable.
+func (e *Entry) isLive(name string) bool {
 	_, live := e.members.member(e.clock.Now(), name)
 	return live
 }
--- a/internal/app/entry/stop.go
+++ b/internal/app/entry/stop.go
@@ -12,62 +12,65 @@
 )
 
 const (
-	// idlePoll is the time between looks for requests in flight, and for relief.
+	// idlePoll is the time between checks for requests in flight, and for a
+	// successor.
 	idlePoll = 10 * time.Millisecond
-	// reliefLimit bounds the wait for another entry that may own groups: twice
-	// the time that a started entry needs to get there.
-	reliefLimit = 5 * time.Second
+	// successorWaitLimit bounds the wait for another entry that may own groups.
+	// It is twice the time that a started entry needs until it may.
+	successorWaitLimit = 5 * time.Second
 )
 
-// Stopping says whether a planned stop has begun.
+// Stopping reports whether a planned stop has begun; the wait for a successor
+// comes before it.
 func (e *Entry) Stopping() bool { return e.stopping.Load() }
 
-// Drain leaves the system without cutting off a request: it waits for relief,
-// look-ups stop naming this entry, it serves on while cached look-ups may still
-// name it and until its requests have ended, and it hands its claims to the
-// peers of its place. It returns the number of requests that were still in
-// flight when ctx ended.
+// Drain takes the entry out of service without interrupting a request. It waits
+// for a successor, removes the entry from look-ups, serves on while cached
+// look-ups may still name it and until its requests have ended, and hands its
+// claims over to the entries of its place. If ctx ends first, it skips what is
+// left of the waiting. It returns the number of requests still in flight.
 func (e *Entry) Drain(ctx context.Context) int64 {
-	begun := e.clock.Now()
-	e.awaitRelief(ctx)
+	start := e.clock.Now()
+	e.awaitSuccessor(ctx)
 	e.stopping.Store(true)
 	event.Log(ctx, e.logger, event.StopBegun)
 	e.members.with(func(t *membership.Table) { t.Leave(e.clock.Now()) })
-	e.wakeBeat()
+	e.wakeHeartbeat()
 	if wait.For(ctx, lookupTTL) {
 		e.awaitIdle(ctx)
 	}
 	e.claims.seal()
 	e.handOver(ctx)
-	e.meter.Drained(e.clock.Now().Sub(begun))
+	e.meter.Drained(e.clock.Now().Sub(start))
 	return e.inFlight.Load()
 }
 
-// awaitRelief waits until another entry of the place may own groups, if there is
-// one at all. Until then this entry is all that the place has: it goes on as if
-// nothing had been said, named by look-ups and ready.
-func (e *Entry) awaitRelief(ctx context.Context) {
-	if e.relieved() {
+// awaitSuccessor waits until another entry of the place may own groups, if
+// there is one that could. Until then no other entry can own the groups of the
+// place, so this one stays ready and in look-ups as if no stop had been
+// requested.
+func (e *Entry) awaitSuccessor(ctx context.Context) {
+	if e.mayLeave() {
 		return
 	}
 	event.Log(ctx, e.logger, event.StopWaits)
-	ctx, cancel := context.WithTimeout(ctx, reliefTime(ctx))
+	ctx, cancel := context.WithTimeout(ctx, successorWait(ctx))
 	defer cancel()
-	for !e.relieved() && wait.For(ctx, idlePoll) {
+	for !e.mayLeave() && wait.For(ctx, idlePoll) {
 	}
 }
 
-// reliefTime is how long a stop may wait for relief: half its time at most, so
-// that it can still drain.
-func reliefTime(ctx context.Context) time.Duration {
+// successorWait returns how long a stop may wait for a successor: half the time
+// left to ctx at most, so that the entry can still drain.
+func successorWait(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return reliefLimit
+		return successorWaitLimit
 	}
-	return min(reliefLimit, time.Until(deadline)/2)
+	return min(successorWaitLimit, time.Until(deadline)/2)
 }
 
-func (e *Entry) relieved() bool { return e.members.relieved(e.clock.Now()) }
+func (e *Entry) mayLeave() bool { return e.members.mayLeave(e.clock.Now()) }
 
 func (e *Entry) awaitIdle(ctx context.Context) {
 	for e.inFlight.Load() > 0 {
@@ -77,8 +80,8 @@
 	}
 }
 
-// handOver gives the claims to every live entry of the place; they answer the
-// resends of this incarnation's keys from then on.
+// handOver sends the claims to every live entry of the place. From then on
+// these entries answer resends with this incarnation's keys.
 func (e *Entry) handOver(ctx context.Context) {
 	s := e.snapshot.Load()
 	if s == nil {
@@ -94,7 +97,7 @@
 		if !ok || member.Name == e.config.Name {
 			continue
 		}
-		if e.handTo(ctx, address.peer, handOvers) {
+		if e.sendHandOvers(ctx, address.peer, handOvers) {
 			handed++
 		}
 	}
@@ -105,10 +108,10 @@
 	event.Log(ctx, e.logger, event.HandOverDone, slog.Int("peers", handed))
 }
 
-// handOverTimeout bounds the hand-over of all claims.
+// handOverTimeout bounds the hand-over of all claims to all entries.
 const handOverTimeout = 5 * time.Second
 
-func (e *Entry) handTo(ctx context.Context, address string, handOvers []claims.HandOver) bool {
+func (e *Entry) sendHandOvers(ctx context.Context, address string, handOvers []claims.HandOver) bool {
 	for _, h := range handOvers {
 		if err := e.peers.HandOver(ctx, address, h); err != nil {
 			return false
--- a/internal/app/entry/suspects.go
+++ b/internal/app/entry/suspects.go
@@ -10,22 +10,24 @@
 	"sassafrasreach/internal/port"
 )
 
-// suspectHold is how long other entries hold a fingerprint back, after its first
-// death and in quarantine.
-var suspectHold = quarantine.DefaultConfig().Hold
+// remoteHold is how long other entries refuse a fingerprint after its first
+// death, and in quarantine.
+var remoteHold = quarantine.DefaultConfig().Hold
 
 var (
-	// errQuarantined tells a caller why its request is refused.
+	// errQuarantined is reported to the caller of a request in quarantine.
 	errQuarantined = errors.New("the request crashed endpoints before; an operator can lift the quarantine")
-	// errSuspected means that an endpoint died with the request on it.
+	// errSuspected means that the request is held back, since an endpoint may
+	// have crashed while it ran the request.
 	errSuspected = errors.New("the request is suspected of crashing endpoints")
 )
 
-// suspects guards the quarantine and wakes the requests that wait for it.
+// suspects guards the quarantine table and wakes the requests that wait for a
+// change of it.
 type suspects struct {
 	mu      sync.Mutex
 	table   *quarantine.Table
-	changed chan struct{} // closed and replaced when a run ends
+	changed chan struct{} // closed and replaced when a run ends or other state changes
 }
 
 func newSuspects() *suspects {
@@ -39,57 +41,59 @@
 	return fingerprint.Of(req.Service, req.Method, req.Target, req.Body)
 }
 
-// started asks for a run; for Wait the channel tells when to ask again.
-func (s *suspects) started(now time.Time, to port.Endpoint, o owned) (quarantine.Admission, <-chan struct{}) {
+// startRun requests admission of a run; for Wait the channel is closed when the
+// request may be repeated.
+func (s *suspects) startRun(now time.Time, to port.Endpoint, o ownedRequest) (quarantine.Admission, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	leave := s.table.Started(now, to.ID, to.Incarnation, o.print, o.req.Service)
-	return leave, s.changed
+	decision := s.table.Started(now, to.ID, to.Incarnation, o.fp, o.req.Service)
+	return decision, s.changed
 }
 
-// news is a change and what the other entries are to know of it.
-type news struct {
+// quarantineUpdate is a change and the rows that report it to the other
+// entries.
+type quarantineUpdate struct {
 	quarantine.Change
 	rows []port.QuarantineRow
 }
 
-// ended records the end of a run.
-func (s *suspects) ended(now time.Time, to port.Endpoint, o owned, end quarantine.End) news {
+// endRun records the end of a run.
+func (s *suspects) endRun(now time.Time, to port.Endpoint, o ownedRequest, end quarantine.End) quarantineUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change := s.table.Ended(now, to.ID, to.Incarnation, o.print, end)
+	change := s.table.Ended(now, to.ID, to.Incarnation, o.fp, end)
 	s.wake()
-	return s.newsOf(now, change)
+	return s.newUpdate(now, change)
 }
 
-func (s *suspects) died(now time.Time, endpoint string, incarnation uint64) news {
+func (s *suspects) recordDeath(now time.Time, endpoint string, incarnation uint64) quarantineUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change := s.table.Died(now, endpoint, incarnation)
 	s.wake()
-	return s.newsOf(now, change)
+	return s.newUpdate(now, change)
 }
 
-// newsOf gives each part of a change its version; must hold mu.
-func (s *suspects) newsOf(now time.Time, change quarantine.Change) news {
+// newUpdate gives each part of a change its version; must hold mu.
+func (s *suspects) newUpdate(now time.Time, change quarantine.Change) quarantineUpdate {
 	var rows []port.QuarantineRow
 	for _, f := range change.Suspected {
 		rows = append(rows, port.QuarantineRow{
-			Fingerprint: f.String(), Remaining: suspectHold, Suspected: true, Version: s.table.Changed(now, f),
+			Fingerprint: f.String(), Remaining: remoteHold, Suspected: true, Version: s.table.Changed(now, f),
 		})
 	}
 	for _, f := range change.Quarantined {
-		rows = append(rows, port.QuarantineRow{Fingerprint: f.String(), Remaining: suspectHold, Version: s.table.Changed(now, f)})
+		rows = append(rows, port.QuarantineRow{Fingerprint: f.String(), Remaining: remoteHold, Version: s.table.Changed(now, f)})
 	}
 	for _, f := range change.Lifted {
 		rows = append(rows, port.QuarantineRow{Fingerprint: f.String(), Lifted: true, Version: s.table.Lifted(now, f)})
 	}
-	return news{change, rows}
+	return quarantineUpdate{change, rows}
 }
 
-// liftByOrder lifts what operators want and returns what is new of it, for the
-// other entries.
-func (s *suspects) liftByOrder(now time.Time, wanted []string) []port.QuarantineRow {
+// liftByOperator applies the lifts that operators ordered and returns the rows
+// of those that were not applied before, for the other entries.
+func (s *suspects) liftByOperator(now time.Time, wanted []string) []port.QuarantineRow {
 	if len(wanted) == 0 {
 		return nil
 	}
@@ -109,13 +113,14 @@
 	return rows
 }
 
-// held returns what another entry is to refuse.
-func (s *suspects) held(now time.Time) []port.QuarantineRow {
+// activeRows returns the fingerprints that another entry must refuse,
+// maxQueuedRows at most.
+func (s *suspects) activeRows(now time.Time) []port.QuarantineRow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := s.table.Held(now)
 	rows := make([]port.QuarantineRow, 0, len(all))
-	for _, entry := range all[:min(len(all), maxUntold)] {
+	for _, entry := range all[:min(len(all), maxQueuedRows)] {
 		rows = append(rows, port.QuarantineRow{
 			Fingerprint: entry.Fingerprint.String(), Service: entry.Service, Remaining: entry.Remaining,
 			Suspected: entry.Suspected, Version: entry.Version,
@@ -124,7 +129,7 @@
 	return rows
 }
 
-// wake lets waiting requests ask again; must hold mu.
+// wake makes waiting requests apply for admission again; must hold mu.
 func (s *suspects) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -143,15 +148,16 @@
 	return s.table.List(now)
 }
 
-// expire returns the endpoints that are to be taken for dead.
+// expire removes what has expired and returns the endpoints to presume dead.
 func (s *suspects) expire(now time.Time) []quarantine.Silent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Expire(now)
 }
 
-// heard notes that an endpoint reported itself.
-func (s *suspects) heard(now time.Time, a port.Announcement) {
+// recordAnnouncement records that an endpoint is alive. Silence after it has
+// announced that it is leaving does not count as its death.
+func (s *suspects) recordAnnouncement(now time.Time, a port.Announcement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a.State == port.EndpointLeaving {
@@ -161,22 +167,22 @@
 	s.table.Heard(now, a.ID, a.Incarnation)
 }
 
-// take applies rows of another entry or of an operator.
-func (s *suspects) take(now time.Time, rows []port.QuarantineRow) {
+// applyRows applies rows that another entry sent.
+func (s *suspects) applyRows(now time.Time, rows []port.QuarantineRow) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, row := range rows {
 		f, err := fingerprint.Parse(row.Fingerprint)
 		if err == nil {
-			s.takeRow(now, f, row)
+			s.applyRow(now, f, row)
 		}
 	}
 	s.wake()
 }
 
-// takeRow applies one row; must hold mu. Every entry counts every death, so
-// that two at different entries make a quarantine.
-func (s *suspects) takeRow(now time.Time, f fingerprint.Fingerprint, row port.QuarantineRow) {
+// applyRow applies one row; must hold mu. Every entry counts every death, so
+// that two deaths at different entries lead to quarantine.
+func (s *suspects) applyRow(now time.Time, f fingerprint.Fingerprint, row port.QuarantineRow) {
 	if row.Lifted {
 		s.table.TakeLift(now, f, row.Version)
 		return
@@ -198,9 +204,9 @@
 func (e *Entry) HandleQuarantine(rows []port.QuarantineRow) []port.QuarantineRow {
 	now := e.clock.Now()
 	if len(rows) == 0 {
-		return e.suspects.held(now)
+		return e.suspects.activeRows(now)
 	}
-	e.suspects.take(now, rows)
+	e.suspects.applyRows(now, rows)
 	e.meterQuarantined()
 	return nil
 }
--- a/internal/app/entry/untold.go
+++ b/internal/app/entry/untold.go
@@ -9,115 +9,119 @@
 )
 
 const (
-	// maxUntold bounds the rows that are kept for one peer.
-	maxUntold = 1000
-	// maxSpreadRows bounds the rows of one message.
-	maxSpreadRows = 200
+	// maxQueuedRows bounds the rows that are queued for one peer, and those
+	// sent to an entry that queries the quarantine.
+	maxQueuedRows = 1000
+	// maxMessageRows bounds the rows of one message.
+	maxMessageRows = 200
 )
 
-// spreader keeps what each peer is still to be told of quarantine.
-type spreader struct {
-	queued chan struct{} // something is to be told
+// broadcaster queues the rows that peers have not acknowledged.
+type broadcaster struct {
+	queued chan struct{} // signaled when rows are queued
 
 	mu    sync.Mutex
-	peers map[string]*untold // by name
+	peers map[string]*peerQueue // by name
 }
 
-// untold holds the rows that one peer hasn't acknowledged.
-type untold struct {
+// peerQueue holds the rows that one peer has not acknowledged.
+type peerQueue struct {
 	name, address string
-	turn          chan struct{} // held while a message is under way
+	sending       chan struct{} // semaphore, held while a message is in flight
 
 	mu   sync.Mutex
 	next uint64
-	rows []untoldRow // oldest first
+	rows []queuedRow // oldest first
 }
 
-// untoldRow is a row on its way to one peer.
-type untoldRow struct {
+// queuedRow is a row that is queued for one peer.
+type queuedRow struct {
 	port.QuarantineRow
 	number uint64
-	until  time.Time // when it matters no more
+	until  time.Time // when the row expires
 }
 
-func newSpreader() *spreader {
-	return &spreader{queued: make(chan struct{}, 1), peers: make(map[string]*untold)}
+func newBroadcaster() *broadcaster {
+	return &broadcaster{queued: make(chan struct{}, 1), peers: make(map[string]*peerQueue)}
 }
 
-// peer returns what is kept for an entry, at its present address.
-func (s *spreader) peer(name, address string) *untold {
+// peer returns the queue of an entry. When its address has changed it gets a
+// new queue.
+func (s *broadcaster) peer(name, address string) *peerQueue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u := s.peers[name]
-	if u == nil || u.address != address {
-		u = &untold{name: name, address: address, turn: make(chan struct{}, 1)}
-		s.peers[name] = u
+	q := s.peers[name]
+	if q == nil || q.address != address {
+		q = &peerQueue{name: name, address: address, sending: make(chan struct{}, 1)}
+		s.peers[name] = q
 	}
-	return u
+	return q
 }
 
-// waiting returns the peers that are to be told something, and forgets those
-// that aren't listed any more.
-func (s *spreader) waiting(now time.Time, listed map[string]entryAddress) []*untold {
+// pending returns the queues that hold rows, and removes those of peers that
+// the document no longer lists at their address.
+func (s *broadcaster) pending(now time.Time, listed map[string]entryAddress) []*peerQueue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all []*untold
-	for name, u := range s.peers {
-		if listed[name].peer != u.address {
+	var all []*peerQueue
+	for name, q := range s.peers {
+		if listed[name].peer != q.address {
 			delete(s.peers, name)
 			continue
 		}
-		if !u.empty(now) {
-			all = append(all, u)
+		if !q.empty(now) {
+			all = append(all, q)
 		}
 	}
 	return all
 }
 
-// add keeps rows until the peer acknowledges them. A lift takes the place of
-// the earlier rows of its fingerprint, any other row that of its like.
-func (u *untold) add(now time.Time, rows []port.QuarantineRow) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+// add queues rows until the peer acknowledges them. A lift replaces all earlier
+// rows of its fingerprint; any other row replaces earlier ones for the same
+// death or suspicion. The oldest rows are dropped beyond maxQueuedRows.
+func (q *peerQueue) add(now time.Time, rows []port.QuarantineRow) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	for _, row := range rows {
-		u.rows = slices.DeleteFunc(u.rows, func(old untoldRow) bool { return replaces(row, old.QuarantineRow) })
-		if len(u.rows) >= maxUntold {
-			u.rows = u.rows[1:]
+		q.rows = slices.DeleteFunc(q.rows, func(old queuedRow) bool { return supersedes(row, old.QuarantineRow) })
+		if len(q.rows) >= maxQueuedRows {
+			q.rows = q.rows[1:]
 		}
-		u.next++
-		u.rows = append(u.rows, untoldRow{QuarantineRow: row, number: u.next, until: now.Add(untoldFor(row))})
+		q.next++
+		q.rows = append(q.rows, queuedRow{QuarantineRow: row, number: q.next, until: now.Add(rowLifetime(row))})
 	}
 }
 
-func replaces(row, old port.QuarantineRow) bool {
+func supersedes(row, old port.QuarantineRow) bool {
 	if row.Fingerprint != old.Fingerprint {
 		return false
 	}
-	like := row.Suspected == old.Suspected && row.Endpoint == old.Endpoint && row.Incarnation == old.Incarnation
-	return row.Lifted || like
+	same := row.Suspected == old.Suspected && row.Endpoint == old.Endpoint && row.Incarnation == old.Incarnation
+	return row.Lifted || same
 }
 
-// untoldFor returns how long a row is of use.
-func untoldFor(row port.QuarantineRow) time.Duration {
+// rowLifetime returns how long a row stays queued.
+func rowLifetime(row port.QuarantineRow) time.Duration {
 	if row.Lifted {
-		return suspectHold
+		return remoteHold
 	}
 	return row.Remaining
 }
 
-// empty says whether nothing is left to be told.
-func (u *untold) empty(now time.Time) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.rows = slices.DeleteFunc(u.rows, func(row untoldRow) bool { return !now.Before(row.until) })
-	return len(u.rows) == 0
+// empty removes expired rows and reports whether none is left.
+func (q *peerQueue) empty(now time.Time) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.rows = slices.DeleteFunc(q.rows, func(row queuedRow) bool { return !now.Before(row.until) })
+	return len(q.rows) == 0
 }
 
-// message returns the oldest rows, with the time that is left of them.
-func (u *untold) message(now time.Time) (rows []port.QuarantineRow, last uint64) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for _, row := range u.rows[:min(len(u.rows), maxSpreadRows)] {
+// message returns the oldest rows with their remaining times, and the number of
+// the last one.
+func (q *peerQueue) message(now time.Time) (rows []port.QuarantineRow, last uint64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, row := range q.rows[:min(len(q.rows), maxMessageRows)] {
 		if !row.Lifted {
 			row.Remaining = row.until.Sub(now)
 		}
@@ -127,9 +131,9 @@
 	return rows, last
 }
 
-// acknowledged forgets the rows up to the numbered one.
-func (u *untold) acknowledged(last uint64) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.rows = slices.DeleteFunc(u.rows, func(row untoldRow) bool { return row.number <= last })
+// acknowledge removes the rows up to the numbered one.
+func (q *peerQueue) acknowledge(last uint64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.rows = slices.DeleteFunc(q.rows, func(row queuedRow) bool { return row.number <= last })
 }
--- a/internal/app/entry/verdict_test.go
+++ b/internal/app/entry/verdict_test.go
@@ -12,25 +12,26 @@
 	"sassafrasreach/internal/port"
 )
 
-// step is what one endpoint call ends with, and when.
+// step is the result of one endpoint call and the time until it.
 type step struct {
 	after  time.Duration
 	answer port.Answer
 }
 
 var (
-	answered   = step{}
-	shed       = step{0, failure(verdict.NotRun, verdict.ReasonShed, errTest)}
-	dial       = step{0, failure(verdict.NotRun, verdict.ReasonDial, errTest)}
-	connection = step{0, failure(verdict.MayHaveRun, verdict.ReasonConnection, port.ErrConnectionLost)}
-	late       = step{0, failure(verdict.MayHaveRun, verdict.ReasonDeadline, errTest)}
-	badAnswer  = step{0, failure(verdict.MayHaveRun, verdict.ReasonBadAnswer, errTest)}
+	answered       = step{}
+	shed           = step{0, failure(verdict.NotRun, verdict.ReasonShed, errTest)}
+	dialFailed     = step{0, failure(verdict.NotRun, verdict.ReasonDial, errTest)}
+	connectionLost = step{0, failure(verdict.MayHaveRun, verdict.ReasonConnection, port.ErrConnectionLost)}
+	timedOut       = step{0, failure(verdict.MayHaveRun, verdict.ReasonDeadline, errTest)}
+	badAnswer      = step{0, failure(verdict.MayHaveRun, verdict.ReasonBadAnswer, errTest)}
 )
 
-func (s step) in(after time.Duration) step { return step{after, s.answer} }
+func (s step) withDelay(after time.Duration) step { return step{after, s.answer} }
 
-// play makes endpoint calls end with the steps, then with an answer.
-func (f *endpointFake) play(steps ...step) {
+// playSteps makes endpoint calls end with the steps in order, and further calls
+// with an answer.
+func (f *endpointFake) playSteps(steps ...step) {
 	f.call = func(n int, _ port.Endpoint) port.Answer {
 		if n > len(steps) {
 			return port.Answer{}
@@ -40,8 +41,10 @@
 	}
 }
 
-// TestVerdicts tells, for what endpoint calls end with, what the caller is told
-// and how many calls are made, at the owner and through another entry.
+// TestVerdicts checks, for the results of endpoint calls, which verdict the
+// caller receives and how many calls are made, at the owner and through another
+// entry. It guards against NotRun for a request that may have run, and against
+// running a once-only request twice.
 func TestVerdicts(t *testing.T) {
 	const (
 		ran   = verdict.Ran
@@ -58,44 +61,44 @@
 	}{
 		{"answer", []step{answered}, ran, 1, ran, 1},
 		{"shed", []step{shed}, ran, 2, ran, 2},
-		{"dial", []step{dial}, ran, 2, ran, 2},
-		{"connection", []step{connection}, maybe, 1, ran, 2},
-		{"deadline", []step{late}, maybe, 1, maybe, 1},
+		{"dial", []step{dialFailed}, ran, 2, ran, 2},
+		{"connection", []step{connectionLost}, maybe, 1, ran, 2},
+		{"deadline", []step{timedOut}, maybe, 1, maybe, 1},
 		{"bad answer", []step{badAnswer}, maybe, 1, ran, 2},
 		{"shed, shed", []step{shed, shed}, not, 2, not, 2},
-		{"shed, connection", []step{shed, connection}, maybe, 2, maybe, 2},
-		{"connection, shed", []step{connection, shed}, maybe, 1, maybe, 2},
-		{"bad answer, dial", []step{badAnswer, dial}, maybe, 1, maybe, 2},
+		{"shed, connection", []step{shed, connectionLost}, maybe, 2, maybe, 2},
+		{"connection, shed", []step{connectionLost, shed}, maybe, 1, maybe, 2},
+		{"bad answer, dial", []step{badAnswer, dialFailed}, maybe, 1, maybe, 2},
 	}
 	for _, c := range cases {
 		for _, mode := range []string{"once, owner", "once, other", "idempotent, owner", "idempotent, other"} {
 			t.Run(c.name+"/"+mode, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					w := settled(t)
-					w.calls.play(c.steps...)
-					owner, other := w.owner()
+					tc := startTestCluster(t)
+					tc.calls.playSteps(c.steps...)
+					owner, other := tc.owner()
 					want, calls := c.idem, c.idemCalls
-					req := w.request()
+					req := tc.request()
 					if mode[:4] == "once" {
 						want, calls = c.once, c.onceCalls
-						req = w.once(owner)
+						req = tc.once(owner)
 					}
 					via := owner
 					if mode[len(mode)-5:] == "other" {
 						via = other
 					}
 					is.Equal(serve(via, req).Verdict(), want)
-					time.Sleep(patience)
-					is.Equal(w.calls.ran(), calls)
+					time.Sleep(requestTimeout)
+					is.Equal(tc.calls.ran(), calls)
 				})
 			})
 		}
 	}
 }
 
-// TestVerdictsOfPeers tells the same for failures between entries. The home of
-// once-only requests is the entry that they arrive at.
+// TestVerdictsOfPeers checks the same for failures between entries. The
+// coordinator of once-only requests is the entry that receives them.
 func TestVerdictsOfPeers(t *testing.T) {
 	spill := document.Rule{Name: "spill", From: "a", To: "b", RequestsPerS: 100}
 	unreachable := verdict.NewError(verdict.NotRun, verdict.ReasonPeer, port.ErrPeerUnreachable)
@@ -103,7 +106,7 @@
 	cases := []struct {
 		name          string
 		rules         []document.Rule
-		before, after error // of forwards to place a
+		before, after error // result of forwards to place a, before or after the peer ran the request
 		steps         []step
 		once          verdict.Verdict
 		onceCalls     int
@@ -123,75 +126,77 @@
 			t.Run(c.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					w := settled(t, c.rules...)
-					w.calls.play(c.steps...)
-					w.fault = func(f port.Forward) (error, error) {
+					tc := startTestCluster(t, c.rules...)
+					tc.calls.playSteps(c.steps...)
+					tc.fault = func(f port.Forward) (error, error) {
 						if f.Place == "a" {
 							return c.before, c.after
 						}
 						return nil, nil
 					}
-					_, other := w.owner()
-					req, want, calls := w.request(), c.idem, c.idemCalls
+					_, other := tc.owner()
+					req, want, calls := tc.request(), c.idem, c.idemCalls
 					if once {
-						req, want, calls = w.once(other), c.once, c.onceCalls
+						req, want, calls = tc.once(other), c.once, c.onceCalls
 					}
 					is.Equal(serve(other, req).Verdict(), want)
-					is.Equal(w.calls.ran(), calls)
+					is.Equal(tc.calls.ran(), calls)
 				})
 			})
 		}
 	}
 }
 
-// TestHedgedVerdicts tells what a caller is told of an idempotent request whose
-// first try is late. The steps end the calls at the owner, or the forwards of
-// another entry.
+// TestHedgedVerdicts checks the verdict of an idempotent request whose first
+// attempt is late, so that a second one is sent. It guards against NotRun when
+// only the second attempt was refused. The steps are the results of calls at
+// the owner, or of forwards from another entry.
 func TestHedgedVerdicts(t *testing.T) {
 	cases := []struct {
 		name  string
 		steps []step
 		want  verdict.Verdict
 	}{
-		{"slow answer, refusal", []step{answered.in(300 * time.Millisecond), shed}, verdict.Ran},
-		{"silence, answer", []step{late.in(patience), answered}, verdict.Ran},
-		{"failure, later refusal", []step{badAnswer.in(300 * time.Millisecond), shed.in(200 * time.Millisecond)}, verdict.MayHaveRun},
-		{"refusal, later failure", []step{badAnswer.in(400 * time.Millisecond), shed.in(100 * time.Millisecond)}, verdict.MayHaveRun},
-		{"slow refusal, failure", []step{shed.in(400 * time.Millisecond), late}, verdict.MayHaveRun},
-		{"refusals", []step{shed.in(300 * time.Millisecond), shed}, verdict.NotRun},
+		{"slow answer, refusal", []step{answered.withDelay(300 * time.Millisecond), shed}, verdict.Ran},
+		{"silence, answer", []step{timedOut.withDelay(requestTimeout), answered}, verdict.Ran},
+		{"failure, later refusal", []step{badAnswer.withDelay(300 * time.Millisecond), shed.withDelay(200 * time.Millisecond)}, verdict.MayHaveRun},
+		{"refusal, later failure", []step{badAnswer.withDelay(400 * time.Millisecond), shed.withDelay(100 * time.Millisecond)}, verdict.MayHaveRun},
+		{"slow refusal, failure", []step{shed.withDelay(400 * time.Millisecond), timedOut}, verdict.MayHaveRun},
+		{"refusals", []step{shed.withDelay(300 * time.Millisecond), shed}, verdict.NotRun},
 	}
 	for _, c := range cases {
 		for _, forwarded := range []bool{false, true} {
 			t.Run(c.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					w := settled(t)
-					w.calls.play(c.steps...)
-					via, other := w.owner()
+					tc := startTestCluster(t)
+					tc.calls.playSteps(c.steps...)
+					via, other := tc.owner()
 					if forwarded {
 						via = other
-						w.fault = func(port.Forward) (error, error) {
-							_, err := w.calls.Call(w.ctx, port.Endpoint{}, nil, nil)
+						tc.fault = func(port.Forward) (error, error) {
+							_, err := tc.calls.Call(tc.ctx, port.Endpoint{}, nil, nil)
 							return err, nil
 						}
 					}
-					is.Equal(serve(via, w.request()).Verdict(), c.want)
-					time.Sleep(2 * patience)
+					is.Equal(serve(via, tc.request()).Verdict(), c.want)
+					time.Sleep(2 * requestTimeout)
 				})
 			})
 		}
 	}
 }
 
-// TestOnceOnlyIsNotHedged waits for a late answer, at the owner and elsewhere.
+// TestOnceOnlyIsNotHedged guards against hedging a once-only request when its
+// answer is late, at the owner and at another entry.
 func TestOnceOnlyIsNotHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := settled(t)
-		w.calls.play(answered.in(time.Second), answered.in(time.Second))
-		owner, other := w.owner()
-		is.NoErr(serve(owner, w.once(owner)).Err)
-		is.NoErr(serve(other, w.once(other)).Err)
-		is.Equal(w.calls.ran(), 2)
+		tc := startTestCluster(t)
+		tc.calls.playSteps(answered.withDelay(time.Second), answered.withDelay(time.Second))
+		owner, other := tc.owner()
+		is.NoErr(serve(owner, tc.once(owner)).Err)
+		is.NoErr(serve(other, tc.once(other)).Err)
+		is.Equal(tc.calls.ran(), 2)
 	})
 }
--- a/internal/app/entry/watch.go
+++ b/internal/app/entry/watch.go
@@ -8,16 +8,16 @@
 	"sassafrasreach/internal/event"
 )
 
-// watch remembers what the last heartbeat period saw, to log what changed. It
-// belongs to the heartbeat loop.
-type watch struct {
+// observed holds the members and owned groups of the last heartbeat period, to
+// log what changed. Only the heartbeat loop uses it.
+type observed struct {
 	live  map[string]bool
 	owned map[groupKey]bool
 }
 
-// noteChanges logs members that came or went and groups that this entry gained
-// or lost.
-func (e *Entry) noteChanges(ctx context.Context, w *watch, now time.Time) {
+// logMembershipChanges logs the members and the group ownerships that were
+// gained or lost since the last period.
+func (e *Entry) logMembershipChanges(ctx context.Context, w *observed, now time.Time) {
 	s := e.snapshot.Load()
 	if s == nil {
 		return
--- a/internal/app/entry/world_test.go
+++ b/internal/app/entry/world_test.go
@@ -20,74 +20,78 @@
 
 const (
 	service = "svc"
-	// settle is the time after which owners are known.
-	settle = 6 * time.Second
-	// patience is the deadline of a test's requests.
-	patience = 2 * time.Second
+	// settleTime is the time after which group owners are known.
+	settleTime = 6 * time.Second
+	// requestTimeout is the time until the deadline of the requests of tests.
+	requestTimeout = 2 * time.Second
 )
 
-// placeOf tells the entries of the test document.
+// placeOf maps the entries of the test document to their places.
 var placeOf = map[string]string{"a1": "a", "a2": "a", "a3": "a", "b1": "b"}
 
 var errTest = errors.New("fault of the test")
 
-// world is several entries in one process, joined by fakes of their ports.
-type world struct {
-	t       *testing.T
-	ctx     context.Context
-	running sync.WaitGroup
-	offset  atomic.Int64 // how far the clock has jumped
-	minted  atomic.Int64
-	calls   *endpointFake
-	control *controlFake
-	meter   *meterFake
+// testCluster runs several entries in one process, connected by fakes of their
+// ports.
+type testCluster struct {
+	t           *testing.T
+	ctx         context.Context
+	running     sync.WaitGroup
+	clockOffset atomic.Int64 // nanoseconds by which the clock is ahead
+	requests    atomic.Int64
+	calls       *endpointFake
+	control     *controlFake
+	meter       *meterFake
 
 	mu      sync.Mutex
-	entries map[string]*Entry // by peer address; those that are reachable
+	entries map[string]*Entry // the reachable entries, by peer address
 	stops   map[string]context.CancelFunc
 	fault   func(f port.Forward) (before, after error)
-	// told counts the messages on quarantine by address; the first lose of each
-	// are lost, and all heartbeats between places while apart is set.
-	told  map[string]int
-	lose  int
-	apart bool
-	// documents stand in for what the peers at these addresses have.
+	// quarantineMessages counts the quarantine messages by address. The first
+	// dropFirst of each are lost, and so are all heartbeats between places
+	// while partitioned is set.
+	quarantineMessages map[string]int
+	dropFirst          int
+	partitioned        bool
+	// documents are returned by the peers at these addresses instead of their
+	// own.
 	documents map[string]port.Config
 }
 
-// newWorld must be called in a bubble of synctest. It starts no entry.
-func newWorld(t *testing.T, config port.Config) *world {
+// newTestCluster must be called in a synctest bubble. It starts no entry.
+func newTestCluster(t *testing.T, config port.Config) *testCluster {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &world{
-		t:       t,
-		ctx:     ctx,
-		calls:   &endpointFake{},
-		control: &controlFake{answers: map[string]port.FetchAnswer{"c1": {Config: config, Quorum: true}}},
-		meter:   &meterFake{moved: make(map[string]int)},
-		told:    make(map[string]int),
-		entries: make(map[string]*Entry),
-		stops:   make(map[string]context.CancelFunc),
+	tc := &testCluster{
+		t:                  t,
+		ctx:                ctx,
+		calls:              &endpointFake{},
+		control:            &controlFake{answers: map[string]port.FetchAnswer{"c1": {Config: config, Quorum: true}}},
+		meter:              &meterFake{moved: make(map[string]int)},
+		quarantineMessages: make(map[string]int),
+		entries:            make(map[string]*Entry),
+		stops:              make(map[string]context.CancelFunc),
 	}
 	t.Cleanup(func() {
 		cancel()
-		w.running.Wait()
+		tc.running.Wait()
 	})
-	return w
+	return tc
 }
 
-// settled returns a world of all entries and two endpoints in each place.
-func settled(t *testing.T, rules ...document.Rule) *world {
+// startTestCluster returns a cluster of all entries and two endpoints in each
+// place, after settleTime.
+func startTestCluster(t *testing.T, rules ...document.Rule) *testCluster {
 	t.Helper()
-	w := newWorld(t, configOf(t, 1, rules...))
+	tc := newTestCluster(t, configOf(t, 1, rules...))
 	for name := range placeOf {
-		w.start(name, 1)
+		tc.start(name, 1)
 	}
 	for _, id := range []string{"a-x", "a-y", "b-x", "b-y"} {
-		w.running.Go(func() { w.announce(id) })
+		tc.running.Go(func() { tc.announce(id) })
 	}
-	time.Sleep(settle)
-	return w
+	time.Sleep(settleTime)
+	return tc
 }
 
 func peerAddress(name string) string { return fmt.Sprintf("127.0.%d.%d:2", name[0], name[1]) }
@@ -119,8 +123,8 @@
 	return port.Config{Version: version, Digest: document.Digest(text), Document: text}
 }
 
-// start starts an entry, in place of one of the same name.
-func (w *world) start(name string, incarnation uint64, seeds ...string) *Entry {
+// start starts an entry, which replaces one of the same name.
+func (tc *testCluster) start(name string, incarnation uint64, seeds ...string) *Entry {
 	e := New(Config{
 		Name:        name,
 		Place:       placeOf[name],
@@ -128,44 +132,44 @@
 		Control:     []string{"c1", "c2"},
 		Seeds:       seeds,
 	}, Ports{
-		Clock:     port.ClockFunc(func() time.Time { return time.Now().Add(time.Duration(w.offset.Load())) }),
+		Clock:     port.ClockFunc(func() time.Time { return time.Now().Add(time.Duration(tc.clockOffset.Load())) }),
 		Logger:    slog.New(slog.DiscardHandler),
-		Peers:     w,
-		Control:   w.control,
-		Endpoints: w.calls,
-		Meter:     w.meter,
+		Peers:     tc,
+		Control:   tc.control,
+		Endpoints: tc.calls,
+		Meter:     tc.meter,
 	})
-	ctx, cancel := context.WithCancel(w.ctx)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.entries[peerAddress(name)] = e
-	w.stops[name] = cancel
-	w.running.Go(func() { e.Run(ctx) })
+	ctx, cancel := context.WithCancel(tc.ctx)
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	tc.entries[peerAddress(name)] = e
+	tc.stops[name] = cancel
+	tc.running.Go(func() { e.Run(ctx) })
 	return e
 }
 
-// crash ends an entry and makes it unreachable.
-func (w *world) crash(name string) {
-	w.unplug(name)
-	w.stops[name]()
+// crash stops an entry and makes it unreachable.
+func (tc *testCluster) crash(name string) {
+	tc.disconnect(name)
+	tc.stops[name]()
 }
 
-func (w *world) unplug(name string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.entries, peerAddress(name))
+func (tc *testCluster) disconnect(name string) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	delete(tc.entries, peerAddress(name))
 }
 
-func (w *world) entry(name string) *Entry {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.entries[peerAddress(name)]
+func (tc *testCluster) entry(name string) *Entry {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	return tc.entries[peerAddress(name)]
 }
 
 // owner returns the owner of place a's group and another entry of the place.
-func (w *world) owner() (owner, other *Entry) {
+func (tc *testCluster) owner() (owner, other *Entry) {
 	for _, name := range []string{"a1", "a2", "a3"} {
-		e := w.entry(name)
+		e := tc.entry(name)
 		if e.members.ownsSelf(e.clock.Now(), groupKey{service, "a"}) {
 			owner = e
 		} else {
@@ -173,62 +177,63 @@
 		}
 	}
 	if owner == nil {
-		w.t.Fatal("no entry owns the group")
+		tc.t.Fatal("no entry owns the group")
 	}
 	return owner, other
 }
 
-// announce keeps an endpoint known to the entries of its place.
-func (w *world) announce(id string) {
+// announce keeps announcing an endpoint to the entries of its place until it
+// crashes.
+func (tc *testCluster) announce(id string) {
 	var sequence uint64
-	for w.ctx.Err() == nil && !w.calls.isDead(id) {
+	for tc.ctx.Err() == nil && !tc.calls.hasCrashed(id) {
 		sequence++
 		for name, place := range placeOf {
-			if e := w.entry(name); e != nil && place == id[:1] {
-				_, _ = e.Announce(w.ctx, port.Announcement{
+			if e := tc.entry(name); e != nil && place == id[:1] {
+				_, _ = e.Announce(tc.ctx, port.Announcement{
 					ID: id, Incarnation: 1, Sequence: sequence, Service: service, Place: place,
 					Address: "127.0.0.1:3", Slots: 4, Connections: 8, State: port.EndpointReady,
 				})
 			}
 		}
-		wait.For(w.ctx, announceInterval)
+		wait.For(tc.ctx, announceInterval)
 	}
 }
 
 // request returns an idempotent request from place a.
-func (w *world) request() *port.Request {
+func (tc *testCluster) request() *port.Request {
 	return &port.Request{
-		ID:       fmt.Sprint("id-", w.minted.Add(1)),
+		ID:       fmt.Sprint("id-", tc.requests.Add(1)),
 		Service:  service,
 		Origin:   "a",
 		Method:   "GET",
-		Target:   fmt.Sprint("/", w.minted.Load()),
-		Deadline: time.Now().Add(time.Duration(w.offset.Load())).Add(patience),
+		Target:   fmt.Sprint("/", tc.requests.Load()),
+		Deadline: time.Now().Add(time.Duration(tc.clockOffset.Load())).Add(requestTimeout),
 	}
 }
 
-// once returns a once-only request whose home is e.
-func (w *world) once(e *Entry) *port.Request {
-	req := w.request()
+// once returns a once-only request whose coordinator is e.
+func (tc *testCluster) once(e *Entry) *port.Request {
+	req := tc.request()
 	req.Method = "POST"
 	req.OnceOnly = true
-	req.Key = claims.NewToken(e.claims.home, e.clock.Now()) + "." + req.ID
+	req.Key = claims.NewToken(e.claims.self, e.clock.Now()) + "." + req.ID
 	return req
 }
 
-// serve serves a copy of req, as a caller's attempt.
+// serve serves a copy of req, as one attempt of a caller.
 func serve(e *Entry, req *port.Request) port.Answer {
 	attempt := *req
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*requestTimeout)
 	defer cancel()
 	response, err := e.Serve(ctx, &attempt)
 	return port.Answer{Response: response, Err: err}
 }
 
-// resend is serve with a new deadline.
-func (w *world) resend(e *Entry, req *port.Request) port.Answer {
+// resend serves a copy of req with a new deadline.
+func (tc *testCluster) resend(e *Entry, req *port.Request) port.Answer {
 	again := *req
-	again.Deadline = w.request().Deadline
+	again.Deadline = tc.request().Deadline
 	return serve(e, &again)
 }
 
@@ -236,58 +241,58 @@
 	return port.Answer{Err: verdict.NewError(v, reason, cause)}
 }
 
-func (w *world) Heartbeat(_ context.Context, address string, hb membership.Heartbeat) (membership.Heartbeat, error) {
-	w.mu.Lock()
-	cut := w.apart && address[:len("127.0.97")] != peerAddress(hb.From)[:len("127.0.97")]
-	w.mu.Unlock()
+func (tc *testCluster) Heartbeat(_ context.Context, address string, hb membership.Heartbeat) (membership.Heartbeat, error) {
+	tc.mu.Lock()
+	cut := tc.partitioned && address[:len("127.0.97")] != peerAddress(hb.From)[:len("127.0.97")]
+	tc.mu.Unlock()
 	if cut {
 		return membership.Heartbeat{}, errTest
 	}
-	return at(w, address, func(e *Entry) membership.Heartbeat { return e.HandleHeartbeat(hb) })
+	return at(tc, address, func(e *Entry) membership.Heartbeat { return e.HandleHeartbeat(hb) })
 }
 
-func (w *world) Announce(_ context.Context, address string, batch []port.Announcement) error {
-	_, err := at(w, address, func(e *Entry) bool { e.HandleAnnounce(batch); return true })
+func (tc *testCluster) Announce(_ context.Context, address string, batch []port.Announcement) error {
+	_, err := at(tc, address, func(e *Entry) bool { e.HandleAnnounce(batch); return true })
 	return err
 }
 
-func (w *world) FetchDocument(_ context.Context, address string, have uint64) (port.Config, error) {
-	w.mu.Lock()
-	config, ok := w.documents[address]
-	w.mu.Unlock()
+func (tc *testCluster) FetchDocument(_ context.Context, address string, have uint64) (port.Config, error) {
+	tc.mu.Lock()
+	config, ok := tc.documents[address]
+	tc.mu.Unlock()
 	if ok {
 		return config, nil
 	}
-	return at(w, address, func(e *Entry) port.Config { return e.HandleFetchDocument(have) })
+	return at(tc, address, func(e *Entry) port.Config { return e.HandleFetchDocument(have) })
 }
 
-func (w *world) HandOver(_ context.Context, address string, h claims.HandOver) error {
-	_, err := at(w, address, func(e *Entry) bool { e.HandleHandOver(h); return true })
+func (tc *testCluster) HandOver(_ context.Context, address string, h claims.HandOver) error {
+	_, err := at(tc, address, func(e *Entry) bool { e.HandleHandOver(h); return true })
 	return err
 }
 
-func (w *world) Quarantine(ctx context.Context, address string, rows []port.QuarantineRow) ([]port.QuarantineRow, error) {
-	w.mu.Lock()
-	w.told[address]++
-	lost := w.told[address] <= w.lose
-	w.mu.Unlock()
+func (tc *testCluster) Quarantine(ctx context.Context, address string, rows []port.QuarantineRow) ([]port.QuarantineRow, error) {
+	tc.mu.Lock()
+	tc.quarantineMessages[address]++
+	lost := tc.quarantineMessages[address] <= tc.dropFirst
+	tc.mu.Unlock()
 	if lost {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return at(w, address, func(e *Entry) []port.QuarantineRow { return e.HandleQuarantine(rows) })
+	return at(tc, address, func(e *Entry) []port.QuarantineRow { return e.HandleQuarantine(rows) })
 }
 
-func (w *world) Borrow(_ context.Context, address string, r port.LoanRequest) (port.LoanGrant, error) {
-	return at(w, address, func(e *Entry) port.LoanGrant { return e.HandleBorrow(r) })
+func (tc *testCluster) Borrow(_ context.Context, address string, r port.LoanRequest) (port.LoanGrant, error) {
+	return at(tc, address, func(e *Entry) port.LoanGrant { return e.HandleBorrow(r) })
 }
 
-// Forward fails as the fault wants before or after the peer's work. A peer that
-// can't be reached is NotRun, as with the real client.
-func (w *world) Forward(ctx context.Context, address string, f port.Forward) (*port.Response, error) {
-	w.mu.Lock()
-	e, fault := w.entries[address], w.fault
-	w.mu.Unlock()
+// Forward fails with the errors of fault, before or after the peer ran the
+// request. A peer that is unreachable is NotRun, as with the real client.
+func (tc *testCluster) Forward(ctx context.Context, address string, f port.Forward) (*port.Response, error) {
+	tc.mu.Lock()
+	e, fault := tc.entries[address], tc.fault
+	tc.mu.Unlock()
 	var before, after error
 	if fault != nil {
 		before, after = fault(f)
@@ -307,11 +312,11 @@
 	return response, err
 }
 
-// at calls the entry at an address.
-func at[T any](w *world, address string, do func(*Entry) T) (T, error) {
-	w.mu.Lock()
-	e := w.entries[address]
-	w.mu.Unlock()
+// at calls do with the entry at an address.
+func at[T any](tc *testCluster, address string, do func(*Entry) T) (T, error) {
+	tc.mu.Lock()
+	e := tc.entries[address]
+	tc.mu.Unlock()
 	if e == nil {
 		var none T
 		return none, port.ErrPeerUnreachable
@@ -319,34 +324,35 @@
 	return do(e), nil
 }
 
-// endpointFake counts calls; call decides on the nth one, from 1.
+// endpointFake counts endpoint calls; call returns the result of the nth one,
+// from 1.
 type endpointFake struct {
-	dial time.Duration // the time before anything is written
+	dial time.Duration // the time before the request is written
 
-	mu    sync.Mutex
-	count int
-	call  func(n int, to port.Endpoint) port.Answer
-	dead  map[string]bool
-	probe error // what a probe of a dead endpoint finds
+	mu      sync.Mutex
+	count   int
+	call    func(n int, to port.Endpoint) port.Answer
+	crashed map[string]bool
+	probe   error // result of probing a crashed endpoint
 }
 
-// crash makes every call end its endpoint.
+// crash makes every call crash its endpoint.
 func (f *endpointFake) crash(probe error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dead, f.probe = make(map[string]bool), probe
+	f.crashed, f.probe = make(map[string]bool), probe
 	f.call = func(_ int, to port.Endpoint) port.Answer {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.dead[to.ID] = true
-		return connection.answer
+		f.crashed[to.ID] = true
+		return connectionLost.answer
 	}
 }
 
-func (f *endpointFake) isDead(id string) bool {
+func (f *endpointFake) hasCrashed(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.dead[id]
+	return f.crashed[id]
 }
 
 func (f *endpointFake) Call(_ context.Context, to port.Endpoint, _ *port.Request, gate port.Gate) (*port.Response, error) {
@@ -370,7 +376,7 @@
 }
 
 func (f *endpointFake) Probe(_ context.Context, to port.Endpoint) error {
-	if f.isDead(to.ID) {
+	if f.hasCrashed(to.ID) {
 		return f.probe
 	}
 	return nil
@@ -382,7 +388,7 @@
 	return f.count
 }
 
-// controlFake answers as the control VM at each address; one without an answer
+// controlFake answers for the control VM at each address; one without an answer
 // is unreachable.
 type controlFake struct {
 	mu      sync.Mutex
@@ -405,7 +411,7 @@
 	f.answers = answers
 }
 
-// meterFake counts what rules let through.
+// meterFake counts the requests that each rule let through.
 type meterFake struct {
 	mu    sync.Mutex
 	moved map[string]int
