--- a/internal/app/entry/blame.go
+++ b/internal/app/entry/blame.go
@@ -27,9 +27,9 @@
 }
 
 // recordRunEnd records how a run ended. After a broken connection it returns
-// only once the other live entries have acknowledged the change or
-// broadcastTimeout has passed. The caller receives the failure after that, so a
-// resend through another entry is held back there.
+// only once the other live entries have acknowledged the change, or after
+// broadcastTimeout. The caller receives the failure after that, so that a
+// resend through another entry finds the request held back there.
 func (e *Entry) recordRunEnd(to port.Endpoint, o ownedRequest, err error) {
 	end := quarantine.Lost
 	switch verdict.Of(err) {
--- a/internal/app/entry/crossing.go
+++ b/internal/app/entry/crossing.go
@@ -118,7 +118,8 @@
 }
 
 // end ends the reservation when the attempt has ended. An attempt that was
-// never written is not counted; a shed attempt was written and is.
+// never written does not count against the caps; a shed attempt was written and
+// counts.
 func (g *attemptGate) end(err error) {
 	if verdict.Of(err) != verdict.NotRun || verdict.ReasonOf(err) == verdict.ReasonShed {
 		g.settleHold()
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -134,8 +134,8 @@
 // process doesn't list the entry's place.
 func (e *Entry) Misplaced() <-chan struct{} { return e.misplaced }
 
-// Ready reports whether callers may be sent to this entry; if not, why is the
-// reason.
+// Ready reports whether callers may be sent to this entry; if not, why gives
+// the reason.
 func (e *Entry) Ready() (ok bool, why string) {
 	if e.stopping.Load() {
 		return false, "stopping"
--- a/internal/app/entry/ledger.go
+++ b/internal/app/entry/ledger.go
@@ -83,14 +83,14 @@
 	l.table.Borrowed(now, r, sentAt, g)
 }
 
-// loanLoop borrows unused shares of other entries while its own are
-// insufficient.
+// loanLoop borrows unused shares of other entries while this entry's own are
+// insufficient, and updates the document versions of the others in the ledger.
 func (e *Entry) loanLoop(ctx context.Context) {
-	var reported time.Time
+	var updated time.Time
 	wait.Each(ctx, loanPeriod, func() {
 		now := e.clock.Now()
-		if now.Sub(reported) >= versionsPeriod {
-			reported = now
+		if now.Sub(updated) >= versionsPeriod {
+			updated = now
 			e.ledger.setVersions(now, e.peerVersions(now))
 		}
 		for _, request := range e.ledger.loanRequests(now) {
--- a/internal/app/entry/members.go
+++ b/internal/app/entry/members.go
@@ -10,7 +10,7 @@
 	"sassafrasreach/internal/wait"
 )
 
-// beatPeriod is the time between heartbeats.
+// heartbeatPeriod is the time between heartbeats.
 const heartbeatPeriod = 500 * time.Millisecond
 
 // members guards the membership table.
@@ -74,12 +74,16 @@
 	return ok && row.Endpoints > 0 && !owned
 }
 
+// settled reports whether this entry has been up for long enough that it may own
+// groups.
 func (m *members) settled(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Settled(now)
 }
 
+// mayLeave reports whether this entry may leave the place: another entry of it
+// may own groups, no other entry could come to, or this entry may not own any.
 func (m *members) mayLeave(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/app/entry/route.go
+++ b/internal/app/entry/route.go
@@ -46,7 +46,8 @@
 }
 
 // routeOnce tries the places in steering order until one runs the request. Only
-// NotRun lets it try the next place, unless the request is idempotent.
+// NotRun lets it try the next place, unless the request is idempotent;
+// mayRetryElsewhere has the exceptions.
 func (e *Entry) routeOnce(ctx context.Context, req *port.Request) (*port.Response, error) {
 	s, err := e.current()
 	if err != nil {
--- a/internal/app/entry/spread.go
+++ b/internal/app/entry/spread.go
@@ -13,11 +13,11 @@
 	// broadcastTimeout bounds how long a caller waits until the live entries
 	// have acknowledged the rows about its request.
 	broadcastTimeout = 3 * peerTimeout
-	// broadcastRetryDelay is the delay before a failed message is sent again,
-	// since it may have failed at once.
+	// broadcastRetryDelay is the delay before a failed message is sent again.
+	// It spaces out messages that fail at once.
 	broadcastRetryDelay = 50 * time.Millisecond
-	// maxUnreachableSends bounds the entries that are not live and are sent
-	// messages at the same time.
+	// maxUnreachableSends bounds the concurrent messages to entries that are
+	// not live.
 	maxUnreachableSends = 4
 )
 
--- a/internal/app/entry/stop.go
+++ b/internal/app/entry/stop.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// successorWait returns how long a stop may wait for a successor: half the time
-// left to ctx at most, so that the entry can still drain.
+// successorWait returns how long a stop may wait for a successor:
+// successorWaitLimit, but at most half the time left to ctx, so that the entry
+// can still drain.
 func successorWait(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/internal/app/entry/suspects.go
+++ b/internal/app/entry/suspects.go
@@ -10,8 +10,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// remoteHold is how long other entries refuse a fingerprint after its first
-// death, and in quarantine.
+// remoteHold is how long other entries refuse a fingerprint: after a broken
+// connection, after its first death, and in quarantine.
 var remoteHold = quarantine.DefaultConfig().Hold
 
 var (
@@ -41,8 +41,8 @@
 	return fingerprint.Of(req.Service, req.Method, req.Target, req.Body)
 }
 
-// startRun requests admission of a run; for Wait the channel is closed when the
-// request may be repeated.
+// startRun requests admission of a run; for Wait the channel is closed when it
+// may be requested again.
 func (s *suspects) startRun(now time.Time, to port.Endpoint, o ownedRequest) (quarantine.Admission, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +113,8 @@
 	return rows
 }
 
-// activeRows returns the fingerprints that another entry must refuse,
-// maxQueuedRows at most.
+// activeRows returns the fingerprints that another entry must refuse or hold
+// back, maxQueuedRows at most.
 func (s *suspects) activeRows(now time.Time) []port.QuarantineRow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 	return rows
 }
 
-// wake makes waiting requests apply for admission again; must hold mu.
+// wake makes waiting requests request admission again; must hold mu.
 func (s *suspects) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/app/entry/untold.go
+++ b/internal/app/entry/untold.go
@@ -30,7 +30,7 @@
 	sending       chan struct{} // semaphore, held while a message is in flight
 
 	mu   sync.Mutex
-	next uint64
+	next uint64      // number of the newest row
 	rows []queuedRow // oldest first
 }
 
--- a/internal/app/entry/watch.go
+++ b/internal/app/entry/watch.go
@@ -17,7 +17,7 @@
 
 // logMembershipChanges logs the members and the group ownerships that were
 // gained or lost since the last period.
-func (e *Entry) logMembershipChanges(ctx context.Context, w *observed, now time.Time) {
+func (e *Entry) logMembershipChanges(ctx context.Context, seen *observed, now time.Time) {
 	s := e.snapshot.Load()
 	if s == nil {
 		return
@@ -34,16 +34,16 @@
 			owned[g.key] = true
 		}
 	}
-	eachMissing(w.live, live, func(name string) {
+	eachMissing(seen.live, live, func(name string) {
 		event.Log(ctx, e.logger, event.MemberLost, slog.String("member", name))
 	})
-	eachMissing(live, w.live, func(name string) {
+	eachMissing(live, seen.live, func(name string) {
 		event.Log(ctx, e.logger, event.MemberFound, slog.String("member", name))
 	})
-	eachMissing(w.owned, owned, func(key groupKey) { e.logOwner(ctx, event.OwnerLost, key) })
-	eachMissing(owned, w.owned, func(key groupKey) { e.logOwner(ctx, event.OwnerGained, key) })
-	w.live = live
-	w.owned = owned
+	eachMissing(seen.owned, owned, func(key groupKey) { e.logOwner(ctx, event.OwnerLost, key) })
+	eachMissing(owned, seen.owned, func(key groupKey) { e.logOwner(ctx, event.OwnerGained, key) })
+	seen.live = live
+	seen.owned = owned
 }
 
 func (e *Entry) logOwner(ctx context.Context, ev event.Event, key groupKey) {
