--- a/internal/app/entry/crash_test.go
+++ b/internal/app/entry/crash_test.go
@@ -26,7 +26,7 @@
 		{"probes find the deaths", port.ErrConnectionRefused, 0, false},
 		{"probes miss the deaths", nil, 0, false},
 		{"the first messages to each entry are lost", port.ErrConnectionRefused, 2, false},
-		{"the other place isn't heard of", port.ErrConnectionRefused, 0, true},
+		{"no heartbeats between places", port.ErrConnectionRefused, 0, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
