--- a/internal/app/entry/announce.go
+++ b/internal/app/entry/announce.go
@@ -195,14 +195,14 @@
 	expirePeriod = time.Second
 )
 
-// expireLoop removes expired claims and suspects, and presumes unresponsive
-// endpoints dead.
+// expireLoop removes expired claims and suspects, and presumes endpoints dead
+// that broke a connection or became unresponsive.
 func (e *Entry) expireLoop(ctx context.Context) {
 	wait.Each(ctx, expirePeriod, func() {
 		now := e.clock.Now()
 		e.claims.expire(now)
-		for _, unresponsive := range e.suspects.expire(now) {
-			go e.presumeDead(unresponsive)
+		for _, endpoint := range e.suspects.expire(now) {
+			go e.presumeDead(endpoint)
 		}
 	})
 }
--- a/internal/app/entry/bootstrap.go
+++ b/internal/app/entry/bootstrap.go
@@ -9,10 +9,11 @@
 	"sassafrasreach/internal/port"
 )
 
-// bootstrap fetches the first document of this process. If a control VM
+// bootstrap tries to fetch the first document of this process. If a control VM
 // confirms a quorum, it applies the newest version that the control VMs
-// returned, if any. Without a quorum it waits for bootstrapGrace and then
-// applies the newest version that single control VMs and seeds returned.
+// returned, if any. Without a quorum it applies nothing until bootstrapGrace
+// after the start, and then the newest version that single control VMs and seeds
+// returned.
 func (e *Entry) bootstrap(ctx context.Context) {
 	best, quorum := e.fetchFromAllControl(ctx)
 	if quorum && best.Version > 0 {
--- a/internal/app/entry/spread.go
+++ b/internal/app/entry/broadcast.go
@@ -16,13 +16,14 @@
 	// broadcastRetryDelay is the delay before a failed message is sent again.
 	// It spaces out messages that fail at once.
 	broadcastRetryDelay = 50 * time.Millisecond
-	// maxUnreachableSends bounds the concurrent messages to entries that are
-	// not live.
+	// maxUnreachableSends bounds the entries that are not live to which one
+	// call of broadcastPending sends.
 	maxUnreachableSends = 4
 )
 
-// sendQueued sends the queued rows of a peer, one message at a time so that the
-// rows stay in order. It reports whether the peer has acknowledged all of them.
+// sendQueued sends the queued rows of a peer within peerTimeout, one message at a
+// time so that the rows stay in order. It reports whether the peer has
+// acknowledged all of them.
 func (e *Entry) sendQueued(ctx context.Context, q *peerQueue) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -43,8 +44,9 @@
 }
 
 // broadcast queues the rows for every other entry of the document and sends
-// them at once. It waits until the live entries have acknowledged them, for
-// broadcastTimeout at most; broadcastLoop sends again what is left.
+// them at once. It waits until the live entries have acknowledged them and one
+// send to each of the others has ended, for broadcastTimeout at most;
+// broadcastLoop sends again what is left.
 func (e *Entry) broadcast(rows []port.QuarantineRow) {
 	if len(rows) == 0 {
 		return
--- a/internal/app/entry/watch.go
+++ b/internal/app/entry/changes.go
@@ -8,15 +8,15 @@
 	"sassafrasreach/internal/event"
 )
 
-// observed holds the members and owned groups of the last heartbeat period, to
-// log what changed. Only the heartbeat loop uses it.
+// observed holds the members and owned groups of the last heartbeat, to log what
+// changed. Only heartbeatLoop uses it.
 type observed struct {
 	live  map[string]bool
 	owned map[groupKey]bool
 }
 
 // logMembershipChanges logs the members and the group ownerships that were
-// gained or lost since the last period.
+// gained or lost since the last call.
 func (e *Entry) logMembershipChanges(ctx context.Context, seen *observed, now time.Time) {
 	s := e.snapshot.Load()
 	if s == nil {
--- a/internal/app/entry/claimtable.go
+++ b/internal/app/entry/claimtable.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// claimRetention is how long a key may be used after the look-up that
-	// issued its token.
+	// claimRetention is how long after the look-up that issued its token a key
+	// that may have run is kept, so that a resend finds the outcome.
 	claimRetention = 10 * time.Minute
 	// claimClockSkew bounds the difference between the clocks of two entries.
 	claimClockSkew = 5 * time.Second
--- a/internal/app/entry/crossing.go
+++ b/internal/app/entry/crossing.go
@@ -19,7 +19,8 @@
 type crossing struct {
 	entry  *Entry
 	charge budget.Charge
-	// link reserves bytes in both directions of the link between the regions.
+	// link reserves bytes in both directions of the link between the regions;
+	// it is empty if both places are in one region.
 	link *budget.Hold
 }
 
@@ -82,9 +83,10 @@
 
 // attemptGate is the gate of one attempt of a crossing request. It reserves a
 // unit of each rule right before the request is written. The units stay
-// reserved until budget.DefaultTransit after the request was written, when it
-// has certainly arrived, and then count for one more window. So every window
-// around the arrival counts them, however long writing takes.
+// reserved until the attempt ends, but not beyond budget.DefaultTransit after
+// the request was written, since it has certainly arrived by then. They then
+// count for one more window. So every window around the arrival counts them,
+// however long writing takes.
 type attemptGate struct {
 	crossing *crossing
 	hold     atomic.Pointer[budget.Hold] // nil before Open and after it is settled or released
--- a/internal/app/entry/doc.go
+++ b/internal/app/entry/doc.go
@@ -22,6 +22,10 @@
 //   - Verdict: Ran, NotRun or MayHaveRun, as reported to the caller.
 //   - Quarantine: the fingerprints of requests that crashed endpoints, which entries
 //     refuse. Entries broadcast changes of it as rows.
+//   - Suspected request: one that lost its connection, or that one death is attributed to.
+//     The entry that ran it may run it again. The others, unless they have recently
+//     received an answer to it, refuse it for remoteHold or until an answer at the
+//     first lifts the suspicion.
 //
 // # Lock order
 //
@@ -31,5 +35,9 @@
 //	members.mu, groups.mu, group.mu, ledger.mu, claimTable.mu, suspects.mu,
 //	broadcaster.mu, peerQueue.mu
 //
+// puller.mu is acquired before all of these. It alone is held during calls to
+// other VMs, while the first document is applied. No mutex is acquired while that
+// of attempts, outbox or retryBudget is held.
+//
 // The document in force is an immutable snapshot behind an atomic pointer.
 package entry
--- a/internal/app/entry/blame.go
+++ b/internal/app/entry/endpoint_death.go
@@ -46,7 +46,7 @@
 		rows = append(rows, e.probeAfterReset(to, o.req.Service)...)
 	}
 	if end == quarantine.Answered {
-		e.broadcastLater(rows) // a lift is broadcast in the background, so the caller need not wait
+		e.broadcastLater(rows) // an answer can only lift a suspicion, for which the caller need not wait
 		return
 	}
 	e.broadcast(rows)
@@ -81,11 +81,11 @@
 	return e.attributeDeath(now, id, incarnation)
 }
 
-// presumeDead attributes the death of an unresponsive endpoint to the requests
-// that ran on it. The endpoint stays in use: admission has its own failure
-// detector.
-func (e *Entry) presumeDead(unresponsive quarantine.Silent) {
-	e.broadcast(e.attributeDeath(e.clock.Now(), unresponsive.Endpoint, unresponsive.Number))
+// presumeDead attributes the presumed death of an endpoint, which broke a
+// connection or became unresponsive, to the requests that ran on it. The
+// endpoint stays in use: admission has its own failure detector.
+func (e *Entry) presumeDead(endpoint quarantine.Silent) {
+	e.broadcast(e.attributeDeath(e.clock.Now(), endpoint.Endpoint, endpoint.Number))
 }
 
 // attributeDeath attributes the death of an endpoint to the requests that ran
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -18,11 +18,12 @@
 	// announceInterval is the period at which endpoints should announce
 	// themselves.
 	announceInterval = time.Second
-	// peerTimeout is the timeout of one control call to another VM.
+	// peerTimeout is the timeout of one call to another VM that forwards no
+	// request, and of one probe of an endpoint. A hand-over has its own.
 	peerTimeout = 400 * time.Millisecond
 	// callWorkers bounds the concurrent requests to endpoints.
 	callWorkers = 1024
-	// controlWorkers bounds the concurrent background calls to other VMs.
+	// controlWorkers bounds the concurrent calls of inBackground.
 	controlWorkers = 32
 )
 
@@ -149,8 +150,8 @@
 	return true, ""
 }
 
-// inBackground runs a control call on a worker, with peerTimeout. The call is
-// dropped if no worker becomes free within that time.
+// inBackground runs a call to another VM on a worker, with peerTimeout. The call
+// is dropped if no worker becomes free within that time.
 func (e *Entry) inBackground(ctx context.Context, do func(ctx context.Context)) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	err := e.controls.Submit(ctx, func() {
--- a/internal/app/entry/members.go
+++ b/internal/app/entry/members.go
@@ -74,16 +74,17 @@
 	return ok && row.Endpoints > 0 && !owned
 }
 
-// settled reports whether this entry has been up for long enough that it may own
-// groups.
+// settled reports whether this entry may own groups: it has been up for long
+// enough and isn't fenced.
 func (m *members) settled(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Settled(now)
 }
 
-// mayLeave reports whether this entry may leave the place: another entry of it
-// may own groups, no other entry could come to, or this entry may not own any.
+// mayLeave reports whether this entry can stop without leaving its place without
+// an owner: another entry of the place may own groups, there is none that will
+// be able to, or this entry may not own groups itself.
 func (m *members) mayLeave(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/app/entry/once.go
+++ b/internal/app/entry/once.go
@@ -17,7 +17,7 @@
 
 // serveOnce serves a once-only request here if this incarnation is its key's
 // coordinator, else forwards it to the coordinator. With mayForward unset it
-// never forwards it and decides from the claims of this entry.
+// decides from the claims of this entry, whichever the coordinator is.
 func (e *Entry) serveOnce(ctx context.Context, req *port.Request, mayForward bool) (*port.Response, error) {
 	key, err := claims.ParseKey(req.Key)
 	if err != nil {
--- a/internal/app/entry/once_test.go
+++ b/internal/app/entry/once_test.go
@@ -23,9 +23,9 @@
 	}{
 		{"parallel resends run once", runParallelResends},
 		{"NotRun is final for its key only", runNotRun},
-		{"unreachable home", runUnreachable},
+		{"unreachable coordinator", runUnreachable},
 		{"planned stop", runPlannedStop},
-		{"restarted home", runRestart},
+		{"restarted coordinator", runRestart},
 		{"past deadline", runPastDeadline},
 		{"past the retention", runPastRetention},
 	}
@@ -83,9 +83,9 @@
 }
 
 func runUnreachable(is *is.I, tc *testCluster) int {
-	home := tc.entry("a1")
-	used, fresh := tc.once(home), tc.once(home)
-	is.NoErr(serve(home, used).Err)
+	coordinator := tc.entry("a1")
+	used, fresh := tc.once(coordinator), tc.once(coordinator)
+	is.NoErr(serve(coordinator, used).Err)
 	tc.disconnect("a1")
 	for range 2 { // while the coordinator still counts as live, then after it is presumed gone
 		for _, req := range []*port.Request{used, fresh} {
@@ -99,11 +99,11 @@
 }
 
 func runPlannedStop(is *is.I, tc *testCluster) int {
-	home := tc.entry("a1")
-	used, fresh := tc.once(home), tc.once(home)
+	coordinator := tc.entry("a1")
+	used, fresh := tc.once(coordinator), tc.once(coordinator)
 	is.NoErr(serve(tc.entry("a2"), used).Err)
-	is.Equal(home.Drain(tc.ctx), int64(0))
-	is.Equal(tc.resend(home, fresh).Verdict(), verdict.NotRun)
+	is.Equal(coordinator.Drain(tc.ctx), int64(0))
+	is.Equal(tc.resend(coordinator, fresh).Verdict(), verdict.NotRun)
 	tc.crash("a1")
 	expect := func(names ...string) {
 		for _, name := range names {
@@ -122,9 +122,9 @@
 }
 
 func runRestart(is *is.I, tc *testCluster) int {
-	home := tc.entry("a1")
-	used, fresh := tc.once(home), tc.once(home)
-	is.NoErr(serve(home, used).Err)
+	coordinator := tc.entry("a1")
+	used, fresh := tc.once(coordinator), tc.once(coordinator)
+	is.NoErr(serve(coordinator, used).Err)
 	tc.crash("a1")
 	tc.start("a1", 2)
 	time.Sleep(settleTime)
@@ -138,22 +138,22 @@
 }
 
 func runPastDeadline(is *is.I, tc *testCluster) int {
-	home := tc.entry("a1")
-	used, fresh := tc.once(home), tc.once(home)
-	is.NoErr(serve(home, used).Err)
+	coordinator := tc.entry("a1")
+	used, fresh := tc.once(coordinator), tc.once(coordinator)
+	is.NoErr(serve(coordinator, used).Err)
 	time.Sleep(2 * requestTimeout)
-	stored := serve(home, used)
+	stored := serve(coordinator, used)
 	is.NoErr(stored.Err)
 	is.Equal(string(stored.Response.Body), "run 1")
-	is.Equal(serve(home, fresh).Verdict(), verdict.NotRun)
+	is.Equal(serve(coordinator, fresh).Verdict(), verdict.NotRun)
 	is.Equal(tc.resend(tc.entry("a2"), fresh).Verdict(), verdict.NotRun)
 	return 1
 }
 
 func runPastRetention(is *is.I, tc *testCluster) int {
-	home := tc.entry("a1")
-	used, fresh := tc.once(home), tc.once(home)
-	is.NoErr(serve(home, used).Err)
+	coordinator := tc.entry("a1")
+	used, fresh := tc.once(coordinator), tc.once(coordinator)
+	is.NoErr(serve(coordinator, used).Err)
 	time.Sleep(claimRetention)
 	for name := range placeOf {
 		for _, req := range []*port.Request{used, fresh} {
--- a/internal/app/entry/own.go
+++ b/internal/app/entry/own.go
@@ -44,9 +44,10 @@
 	crossing *crossing
 }
 
-// tryEndpoints sends the request to an endpoint, and to a second one when the
-// first did not run it, or when it is idempotent and the first lost its
-// connection, sent a bad answer, or is late.
+// tryEndpoints sends the request to an endpoint. It sends the request to a second
+// one if the first shed it or could not be connected to, or, for an idempotent
+// request and within the retry budget, if the first lost its connection, sent a
+// bad answer, or is late.
 func (e *Entry) tryEndpoints(ctx context.Context, o ownedRequest) (*port.Response, error) {
 	first, err := e.startAttempt(ctx, o, nil)
 	if err != nil {
--- a/internal/app/entry/untold.go
+++ b/internal/app/entry/peer_queue.go
@@ -47,26 +47,26 @@
 
 // peer returns the queue of an entry. When its address has changed it gets a
 // new queue.
-func (s *broadcaster) peer(name, address string) *peerQueue {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	q := s.peers[name]
+func (b *broadcaster) peer(name, address string) *peerQueue {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	q := b.peers[name]
 	if q == nil || q.address != address {
 		q = &peerQueue{name: name, address: address, sending: make(chan struct{}, 1)}
-		s.peers[name] = q
+		b.peers[name] = q
 	}
 	return q
 }
 
 // pending returns the queues that hold rows, and removes those of peers that
 // the document no longer lists at their address.
-func (s *broadcaster) pending(now time.Time, listed map[string]entryAddress) []*peerQueue {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (b *broadcaster) pending(now time.Time, listed map[string]entryAddress) []*peerQueue {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var all []*peerQueue
-	for name, q := range s.peers {
+	for name, q := range b.peers {
 		if listed[name].peer != q.address {
-			delete(s.peers, name)
+			delete(b.peers, name)
 			continue
 		}
 		if !q.empty(now) {
@@ -76,9 +76,9 @@
 	return all
 }
 
-// add queues rows until the peer acknowledges them. A lift replaces all earlier
-// rows of its fingerprint; any other row replaces earlier ones for the same
-// death or suspicion. The oldest rows are dropped beyond maxQueuedRows.
+// add queues rows until the peer acknowledges them or they expire. A lift
+// replaces all earlier rows of its fingerprint; any other row replaces those that
+// supersedes finds to be the same. Beyond maxQueuedRows the oldest are dropped.
 func (q *peerQueue) add(now time.Time, rows []port.QuarantineRow) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -92,6 +92,9 @@
 	}
 }
 
+// supersedes reports whether row replaces old: both have the same fingerprint,
+// and row is a lift or reports the same suspicion or quarantine for the same
+// endpoint incarnation.
 func supersedes(row, old port.QuarantineRow) bool {
 	if row.Fingerprint != old.Fingerprint {
 		return false
@@ -100,7 +103,7 @@
 	return row.Lifted || same
 }
 
-// rowLifetime returns how long a row stays queued.
+// rowLifetime returns how long a row stays queued at most.
 func rowLifetime(row port.QuarantineRow) time.Duration {
 	if row.Lifted {
 		return remoteHold
--- a/internal/app/entry/pull.go
+++ b/internal/app/entry/pull.go
@@ -30,7 +30,7 @@
 
 // puller is the state of the document pulls.
 type puller struct {
-	mu              sync.Mutex // serialises apply
+	mu              sync.Mutex // serializes apply
 	started         time.Time
 	lastControlPull time.Time // when this entry last queried a control VM itself
 	next            int       // index of the control VM to query next
--- a/internal/app/entry/route.go
+++ b/internal/app/entry/route.go
@@ -15,8 +15,7 @@
 )
 
 const (
-	// maxPlaces bounds the places at which one request is tried before it is
-	// refused or retried.
+	// maxPlaces bounds the places at which routeOnce tries a request.
 	maxPlaces = 4
 	// ownerRetryDelay is the delay before a request to a group without an owner
 	// is retried.
@@ -82,9 +81,9 @@
 }
 
 // emptyRankingError explains why no place may serve a request. Two causes are
-// temporary: this entry has started too recently to know of every group, or a
-// group with endpoints has no owner. Otherwise there is no endpoint that could
-// answer.
+// temporary and marked with errOwnerMissing: this entry has started too recently
+// to know of every group or is fenced, or a group with endpoints has no owner.
+// Otherwise there is no endpoint that could answer.
 func (e *Entry) emptyRankingError(s *snapshot, service string) error {
 	now := e.clock.Now()
 	if !e.members.settled(now) {
@@ -158,7 +157,7 @@
 	return port.Forward{Hop: port.HopOwner, Place: key.place, Request: &attempt, Fresh: fresh}
 }
 
-// forwardHedgeFactor is how many hedge delays another entry than the owner
+// forwardHedgeFactor is the number of hedge delays that the forwarding entry
 // waits before it hedges, so that the owner tries a second endpoint first.
 const forwardHedgeFactor = 2
 
--- a/internal/app/entry/run.go
+++ b/internal/app/entry/run.go
@@ -11,9 +11,9 @@
 	"sassafrasreach/internal/port"
 )
 
-// admitRun waits for a slot and for admission by the quarantine. While as many
-// runs of a suspected request are in progress as the quarantine allows, it
-// releases the slot, waits for a change, and requests a slot again.
+// admitRun waits for a slot and for admission by the quarantine. While the
+// quarantine allows no further run, because others of the same fingerprint are in
+// progress, it releases the slot, waits for a change, and requests a slot again.
 func (e *Entry) admitRun(ctx context.Context, o ownedRequest, t admission.Ticket) (*endpointRun, error) {
 	for {
 		grant, err := o.group.admit(ctx, e.clock, t)
--- a/internal/app/entry/suspects.go
+++ b/internal/app/entry/suspects.go
@@ -11,14 +11,14 @@
 )
 
 // remoteHold is how long other entries refuse a fingerprint: after a broken
-// connection, after its first death, and in quarantine.
+// connection, after the first death attributed to it, and in quarantine.
 var remoteHold = quarantine.DefaultConfig().Hold
 
 var (
 	// errQuarantined is reported to the caller of a request in quarantine.
 	errQuarantined = errors.New("the request crashed endpoints before; an operator can lift the quarantine")
-	// errSuspected means that the request is held back, since an endpoint may
-	// have crashed while it ran the request.
+	// errSuspected means that the quarantine admitted no run of the request,
+	// since runs of it crashed endpoints or may turn out to have done so.
 	errSuspected = errors.New("the request is suspected of crashing endpoints")
 )
 
@@ -27,7 +27,7 @@
 type suspects struct {
 	mu      sync.Mutex
 	table   *quarantine.Table
-	changed chan struct{} // closed and replaced when a run ends or other state changes
+	changed chan struct{} // closed and replaced when a run ends, an endpoint dies, or rows or lifts are applied
 }
 
 func newSuspects() *suspects {
@@ -41,8 +41,8 @@
 	return fingerprint.Of(req.Service, req.Method, req.Target, req.Body)
 }
 
-// startRun requests admission of a run; for Wait the channel is closed when it
-// may be requested again.
+// startRun requests admission of a run and records the run if it is admitted.
+// For Wait the channel is closed when admission may be requested again.
 func (s *suspects) startRun(now time.Time, to port.Endpoint, o ownedRequest) (quarantine.Admission, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
