--- a/internal/core/budget/bucket.go
+++ b/internal/core/budget/bucket.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// loan is units until a moment on the own clock.
+// loan is a number of units and when it expires, by this entry's clock.
 type loan struct {
 	units int64
 	until time.Time
 }
 
-// borrowerID is one incarnation of an entry that borrows.
+// borrowerID identifies one incarnation of a borrowing entry.
 type borrowerID struct {
 	entry       string
 	incarnation uint64
@@ -17,73 +17,77 @@
 // bucket is this entry's part of one cap.
 type bucket struct {
 	name string
-	// now holds the split in force; past holds those before it.
-	now  split
-	past []split
-	// from is the version from which on all splits are known here.
-	from uint64
-	// weight is the own part that may be used. It is lowered at once and raised
-	// only when nobody else may use more than the split in force gives, so that
-	// the weights of all entries never sum to more than 1, whichever versions
-	// they have. No use exceeds the highest cap in force then.
+	// current is the split in force; past holds the earlier ones, oldest first.
+	current split
+	past    []split
+	// knownFrom is the lowest version from which on all splits are known here.
+	knownFrom uint64
+	// weight is this entry's fraction of the cap that may be used. It is
+	// lowered at once and raised only when no other entry may use more than the
+	// split in force gives it, so that the weights of all entries never sum to
+	// more than 1, whichever versions they have. Use therefore never exceeds
+	// the highest cap in force.
 	weight weight
-	// limit is the own share that may be used. It is the weight's part of the
-	// cap rounded down, and the whole share when whole.
-	limit int64
-	whole bool
-	// clear is since when nothing holds the weight down; zero while it is.
-	clear time.Time
-	// use and demand count the units admitted and asked for.
+	// limit is the number of units of this entry's share that may be used: the
+	// weight's part of the cap, rounded down, or the whole share once raised is
+	// set.
+	limit  int64
+	raised bool
+	// unblockedSince is when the last obstacle to raising the weight went away;
+	// zero while there is one.
+	unblockedSince time.Time
+	// use counts the units used, demand the units requested.
 	use, demand *meter
-	// held is reserved by requests in flight whose units aren't known yet.
-	held int64
-	// lent and borrowed hold the unexpired grants by borrower and lender. Of
-	// several with one entry the largest counts.
+	// reserved is the sum of the holds of requests whose use isn't known yet.
+	reserved int64
+	// lent and borrowed hold the unexpired loans by borrower and by lender. Of
+	// several loans with one entry only the largest counts.
 	lent     map[borrowerID][]loan
 	borrowed map[string][]loan
-	// refused is until when a lender isn't asked again.
-	refused map[string]time.Time
-	// asked is the lender asked last.
-	asked string
-	// shifting is when the present shift began, active when units were last
-	// asked for.
-	shifting, active time.Time
+	// retryAfter is the time before which a lender isn't sent another request.
+	retryAfter map[string]time.Time
+	// lastLender is the lender that the last new request was sent to.
+	lastLender string
+	// rampStartedAt is when the present ramp started, lastDemand when units
+	// were last requested.
+	rampStartedAt, lastDemand time.Time
 }
 
 func newBucket(name string, cfg Config, now time.Time) *bucket {
 	return &bucket{
-		name:     name,
-		use:      newMeter(cfg, now),
-		demand:   newMeter(cfg, now),
-		lent:     make(map[borrowerID][]loan),
-		borrowed: make(map[string][]loan),
-		refused:  make(map[string]time.Time),
+		name:       name,
+		use:        newMeter(cfg, now),
+		demand:     newMeter(cfg, now),
+		lent:       make(map[borrowerID][]loan),
+		borrowed:   make(map[string][]loan),
+		retryAfter: make(map[string]time.Time),
 	}
 }
 
-// share is the own part of the split in force.
-func (b *bucket) share(entry string) int64 { return b.now.shares[entry] }
+// share returns this entry's share in the split in force.
+func (b *bucket) share(entry string) int64 { return b.current.shares[entry] }
 
-// lower puts a split in force without raising the own weight.
+// lower puts a split in force without raising this entry's weight.
 func (b *bucket) lower(s split, entry string) {
-	b.now = s
-	if own := s.weights[entry]; own.below(b.weight) {
+	b.current = s
+	if own := s.weights[entry]; own.lessThan(b.weight) {
 		b.weight = own
 	}
 	b.limit = b.weight.of(s.units)
-	b.whole = false
-	b.clear = time.Time{}
+	b.raised = false
+	b.unblockedSince = time.Time{}
 }
 
-// raise gives the whole share of the split in force.
+// raise makes the whole share of the split in force usable.
 func (b *bucket) raise(entry string) {
-	b.weight = b.now.weights[entry]
+	b.weight = b.current.weights[entry]
 	b.limit = b.share(entry)
-	b.whole = true
+	b.raised = true
 }
 
-// largest returns the largest unexpired loan and the list without the others.
-func largest(now time.Time, loans []loan) (int64, []loan) {
+// largestLoan returns the units of the largest unexpired loan, and the list
+// without the expired ones. It reuses the memory of the list.
+func largestLoan(now time.Time, loans []loan) (int64, []loan) {
 	units := int64(0)
 	kept := loans[:0]
 	for _, l := range loans {
@@ -95,11 +99,11 @@
 	return units, kept
 }
 
-// lentUnits is what borrowers may be using of the own share.
+// lentUnits returns how much of this entry's share borrowers may be using.
 func (b *bucket) lentUnits(now time.Time) int64 {
 	sum := int64(0)
 	for id, loans := range b.lent {
-		units, kept := largest(now, loans)
+		units, kept := largestLoan(now, loans)
 		sum += units
 		b.lent[id] = kept
 		if len(kept) == 0 {
@@ -109,11 +113,11 @@
 	return sum
 }
 
-// borrowedUnits is what may be used of others' shares.
+// borrowedUnits returns how much of other entries' shares may be used.
 func (b *bucket) borrowedUnits(now time.Time) int64 {
 	sum := int64(0)
 	for lender, loans := range b.borrowed {
-		units, kept := largest(now, loans)
+		units, kept := largestLoan(now, loans)
 		sum += units
 		b.borrowed[lender] = kept
 		if len(kept) == 0 {
@@ -123,38 +127,41 @@
 	return sum
 }
 
-// usable is what may be used in the window that ends now, before the ramp.
-func (b *bucket) usable(now time.Time) int64 {
+// usableUnits returns how much may be used in the window that ends now, before
+// the ramp is applied.
+func (b *bucket) usableUnits(now time.Time) int64 {
 	return max(0, b.limit-b.lentUnits(now)) + b.borrowedUnits(now)
 }
 
-// rampStart is the part of a cap with which a shift starts: one in rampStart.
-const rampStart = 10
-
-// ramped is usable as the ramp of the present shift allows it.
-func (b *bucket) ramped(now time.Time) int64 {
-	whole := b.usable(now)
-	ramp := b.now.ramp
-	age := now.Sub(b.shifting)
-	if ramp <= 0 || age >= ramp || whole == 0 {
-		return whole
+// rampInitialDivisor gives the part of the usable units at which a ramp starts:
+// one in rampInitialDivisor.
+const rampInitialDivisor = 10
+
+// rampedUnits returns the usable units, limited by the present ramp. The limit
+// grows linearly over the ramp.
+func (b *bucket) rampedUnits(now time.Time) int64 {
+	full := b.usableUnits(now)
+	ramp := b.current.ramp
+	age := now.Sub(b.rampStartedAt)
+	if ramp <= 0 || age >= ramp || full == 0 {
+		return full
 	}
-	part := whole / rampStart
-	part += int64(float64(whole-part) * (float64(age) / float64(ramp)))
+	part := full / rampInitialDivisor
+	part += int64(float64(full-part) * (float64(age) / float64(ramp)))
 	return max(1, part)
 }
 
-// touch notes that units are asked for now. A shift starts anew after as much
-// time without demand as its ramp takes.
-func (b *bucket) touch(now time.Time, units int64) {
-	if b.active.IsZero() || now.Sub(b.active) > max(b.now.ramp, time.Second) {
-		b.shifting = now
+// recordDemand counts units that are requested now. The ramp starts again after
+// a time without demand that is longer than the ramp and than one second.
+func (b *bucket) recordDemand(now time.Time, units int64) {
+	if b.lastDemand.IsZero() || now.Sub(b.lastDemand) > max(b.current.ramp, time.Second) {
+		b.rampStartedAt = now
 	}
-	b.active = now
+	b.lastDemand = now
 	b.demand.add(now, units)
 }
 
-// fits says whether units may be used now.
+// fits reports whether units may be used now.
 func (b *bucket) fits(now time.Time, units int64) bool {
-	return b.use.used(now)+b.held+units <= b.ramped(now)
+	return b.use.used(now)+b.reserved+units <= b.rampedUnits(now)
 }
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -12,10 +12,10 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// wait covers the wait after a start and the window after it.
-const wait = 7 * time.Second
+// startupWait covers the wait after a start and the window after it.
+const startupWait = 7 * time.Second
 
-func pair(cap int) *document.Document {
+func twoEntries(cap int) *document.Document {
 	return &document.Document{
 		Regions: []document.Region{{Name: "west"}, {Name: "east"}},
 		Places: []document.Place{
@@ -30,13 +30,13 @@
 func TestStaticShareInAnyWindow(t *testing.T) {
 	is := is.New(t)
 	l := budget.NewLedger(budget.Owner{Entry: "e1", Incarnation: 1}, budget.Config{}, epoch)
-	l.SetDocument(epoch, 1, pair(100))
-	is.True(!sent(l, epoch.Add(time.Second), move)) // just started
-	now := epoch.Add(wait)
+	l.SetDocument(epoch, 1, twoEntries(100))
+	is.True(!takeOne(l, epoch.Add(time.Second), ruleNames)) // still in the wait after the start
+	now := epoch.Add(startupWait)
 	l.SetVersions(now.Add(-2*time.Second), map[string]uint64{"e2": 1})
 	var admitted []time.Time
 	for range 3000 {
-		if sent(l, now, move) {
+		if takeOne(l, now, ruleNames) {
 			admitted = append(admitted, now)
 		}
 		now = now.Add(time.Millisecond)
--- a/internal/core/budget/doc.go
+++ b/internal/core/budget/doc.go
@@ -1,14 +1,19 @@
-// Package budget keeps the caps of rules and the byte budgets of links.
+// Package budget enforces the request caps of rules and the byte budgets of
+// links.
 //
-// Every cap is split into fixed shares over the entries of its destination, so
-// that entries which can't reach each other still keep it together. An entry
-// may lend a part of its share that lies unused; the borrower counts the term
-// from when it asked, the lender from when it answered and for longer, so that
-// the units are never used by both (Gray and Cheriton, "Leases", 1989). Use is
-// counted in a sliding window, never refilled ahead of time: a burst counts
-// inside its window.
+// Every cap is split into fixed shares, one per entry of the rule's destination
+// or of the link's two regions, so that entries that can't reach each other
+// still don't exceed the cap together. An entry may lend an unused part of its
+// share for a limited term. The borrower counts the term from when it sent the
+// request. The lender counts it from when it answered and adds a margin, so
+// that the units are never used by both (Gray and Cheriton, "Leases", 1989).
+// Use is counted in a sliding window rather than refilled ahead of time, so a
+// burst counts fully in its window.
 //
-// A share is lowered at once when a document lowers it. It is raised only when
-// every other entry that might still use more than the document gives it is
-// known to have the document, and a window has passed since.
+// An entry lowers its share at once when a document lowers it. It raises its
+// share only when every other entry that might still use more than the document
+// gives it is known to have the document, and a window has passed since.
+//
+// Terms: a bucket is one entry's part of one cap, a split is how a document
+// divides a cap into shares, and a hold is the reservation of one request.
 package budget
--- a/internal/core/budget/hold.go
+++ b/internal/core/budget/hold.go
@@ -2,82 +2,84 @@
 
 import "time"
 
-// Hold is units reserved by one request until it is known what it used. Each
-// must be ended once, by Settle or Release.
+// Hold is the units reserved for one request until its use is known. Each must
+// be ended once, by Settle or Release.
 type Hold struct {
-	uses []use
+	parts []holdPart
 }
 
-// use is what a hold reserves of one bucket.
-type use struct {
+// holdPart is what a hold reserves in one bucket.
+type holdPart struct {
 	b     *bucket
 	units int64
-	// upTo says that fewer units may be used than are reserved.
-	upTo bool
+	// isUpperBound is set when fewer units may be used than are reserved.
+	isUpperBound bool
 }
 
-// Admit reserves the bytes that a request needs of its link in both directions
-// if its rules have room for it too, and returns nil if anything has none. A
-// rule that isn't in the document has none; a link that isn't has no bound.
-// The rules' units are taken later, by Take.
+// Admit reserves the bytes that a request needs of its link in both directions.
+// It returns nil when the link or a rule of the request has no room. A rule
+// that isn't in the document has no room; a link that isn't in the document is
+// unlimited. The rules' units are reserved later, by Take.
 func (l *Ledger) Admit(now time.Time, c Charge) *Hold {
-	now = l.tick(now)
-	l.settleLimits(now)
-	rules, known := l.rules(c.Rules)
-	links := l.links(c)
-	touch(now, links)
-	if !known || !fit(now, rules) || !fit(now, links) {
-		touch(now, rules)
+	now = l.monotonic(now)
+	l.raiseLimits(now)
+	rules, known := l.ruleParts(c.Rules)
+	links := l.linkParts(c)
+	recordDemand(now, links)
+	if !known || !allFit(now, rules) || !allFit(now, links) {
+		recordDemand(now, rules)
 		return nil
 	}
-	return hold(links)
+	return newHold(links)
 }
 
-// Take reserves one unit of each rule, or nothing and nil if one has no room.
-// It is called right before a request is sent, once for each time.
+// Take reserves one unit of each rule. It returns nil and reserves nothing when
+// one of them has no room. It is called right before a request is sent, once
+// per attempt.
 func (l *Ledger) Take(now time.Time, rules []string) *Hold {
-	now = l.tick(now)
-	l.settleLimits(now)
-	uses, known := l.rules(rules)
-	touch(now, uses)
-	if !known || !fit(now, uses) {
+	now = l.monotonic(now)
+	l.raiseLimits(now)
+	parts, known := l.ruleParts(rules)
+	recordDemand(now, parts)
+	if !known || !allFit(now, parts) {
 		return nil
 	}
-	return hold(uses)
+	return newHold(parts)
 }
 
-// Settle ends a hold and counts what was used, from now on for a window. Up to
-// now the whole hold counted, so what was used at any time since it was taken
-// is in each window around that time. bytes are those that went over the link:
-// of the answer if the charge bounded them apart, and of request and answer
-// otherwise.
+// Settle ends a hold and counts its actual use at the time now, so that it
+// counts for one window from now on. Until now the whole hold counted; whenever
+// the units were used since they were reserved, they are in the count of each
+// window around that time. bytes is the number of bytes that went over the
+// link: those of the answer if the charge has AnswerBytes, and those of request
+// and answer otherwise.
 func (l *Ledger) Settle(now time.Time, h *Hold, bytes int64) {
-	now = l.tick(now)
-	for _, u := range h.uses {
-		u.b.held -= u.units
+	now = l.monotonic(now)
+	for _, u := range h.parts {
+		u.b.reserved -= u.units
 		used := u.units
-		if u.upTo {
+		if u.isUpperBound {
 			used = min(max(0, bytes), u.units)
 		}
 		u.b.use.add(now, used)
 	}
 }
 
-// Release ends a hold of which nothing was used.
+// Release ends a hold whose units weren't used.
 func (l *Ledger) Release(h *Hold) {
-	for _, u := range h.uses {
-		u.b.held -= u.units
+	for _, u := range h.parts {
+		u.b.reserved -= u.units
 	}
 }
 
-func touch(now time.Time, uses []use) {
-	for _, u := range uses {
-		u.b.touch(now, u.units)
+func recordDemand(now time.Time, parts []holdPart) {
+	for _, u := range parts {
+		u.b.recordDemand(now, u.units)
 	}
 }
 
-func fit(now time.Time, uses []use) bool {
-	for _, u := range uses {
+func allFit(now time.Time, parts []holdPart) bool {
+	for _, u := range parts {
 		if !u.b.fits(now, u.units) {
 			return false
 		}
@@ -85,16 +87,16 @@
 	return true
 }
 
-func hold(uses []use) *Hold {
-	for _, u := range uses {
-		u.b.held += u.units
+func newHold(parts []holdPart) *Hold {
+	for _, u := range parts {
+		u.b.reserved += u.units
 	}
-	return &Hold{uses: uses}
+	return &Hold{parts: parts}
 }
 
-// rules returns a use of one unit of each rule; false if one is unknown.
-func (l *Ledger) rules(names []string) ([]use, bool) {
-	uses := make([]use, 0, len(names))
+// ruleParts returns one unit of each rule's bucket; false if a rule is unknown.
+func (l *Ledger) ruleParts(names []string) ([]holdPart, bool) {
+	parts := make([]holdPart, 0, len(names))
 	known := true
 	for _, name := range names {
 		b, ok := l.buckets[ruleBucket(name)]
@@ -102,23 +104,23 @@
 			known = false
 			continue
 		}
-		uses = append(uses, use{b: b, units: 1})
+		parts = append(parts, holdPart{b: b, units: 1})
 	}
-	return uses, known
+	return parts, known
 }
 
-// links returns what a charge uses of its link in both directions.
-func (l *Ledger) links(c Charge) []use {
+// linkParts returns what a charge reserves of its link in both directions.
+func (l *Ledger) linkParts(c Charge) []holdPart {
 	if c.Link == nil {
 		return nil
 	}
-	var uses []use
+	var parts []holdPart
 	if b := l.buckets[linkBucket(*c.Link)]; b != nil && c.Bytes > 0 {
-		uses = append(uses, use{b: b, units: c.Bytes, upTo: c.AnswerBytes <= 0})
+		parts = append(parts, holdPart{b: b, units: c.Bytes, isUpperBound: c.AnswerBytes <= 0})
 	}
 	back := LinkID{From: c.Link.To, To: c.Link.From}
 	if b := l.buckets[linkBucket(back)]; b != nil && c.AnswerBytes > 0 {
-		uses = append(uses, use{b: b, units: c.AnswerBytes, upTo: true})
+		parts = append(parts, holdPart{b: b, units: c.AnswerBytes, isUpperBound: true})
 	}
-	return uses
+	return parts
 }
--- a/internal/core/budget/link_test.go
+++ b/internal/core/budget/link_test.go
@@ -10,34 +10,35 @@
 	"sassafrasreach/internal/core/budget"
 )
 
-// flight is a request whose bytes aren't all known yet.
-type flight struct {
+// linkRequest is an admitted request whose bytes haven't all been sent yet.
+type linkRequest struct {
 	hold  *budget.Hold
 	bytes int64
 	sent  int64
 }
 
-// parcel is bytes that went over the link at a time.
-type parcel struct {
+// transfer is a number of bytes that went over the link at one time.
+type transfer struct {
 	at    time.Time
 	bytes int64
 }
 
-// TestLinkHoldsInEveryWindow lets the bytes of admitted requests flow at any
-// time up to their end, and looks at every window of one second.
-func TestLinkHoldsInEveryWindow(t *testing.T) {
+// TestLinkBudgetInEveryWindow sends the bytes of admitted requests at any time
+// until they end and checks every window of one second. It guards against a
+// window that exceeds the budget because bytes are sent long after admission.
+func TestLinkBudgetInEveryWindow(t *testing.T) {
 	const share = 250_000 // half of 8 Mbit/s * 50%, for one of two entries
 	rapid.Check(t, func(rt *rapid.T) {
-		l, _, now := started()
-		var flights []*flight
-		var parcels []parcel
-		flow := func(f *flight, bytes int64) {
-			f.sent += bytes
-			parcels = append(parcels, parcel{now, bytes})
+		l, _, now := startedLedgers()
+		var requests []*linkRequest
+		var transfers []transfer
+		transferBytes := func(r *linkRequest, bytes int64) {
+			r.sent += bytes
+			transfers = append(transfers, transfer{now, bytes})
 			sum := int64(0)
-			for _, p := range parcels {
-				if now.Sub(p.at) <= time.Second {
-					sum += p.bytes
+			for _, tr := range transfers {
+				if now.Sub(tr.at) <= time.Second {
+					sum += tr.bytes
 				}
 			}
 			if sum > share {
@@ -51,16 +52,16 @@
 			case "take":
 				c := budget.Charge{Link: &budget.LinkID{From: "west", To: "east"}, Bytes: bytes}
 				if hold := l.Admit(now, c); hold != nil {
-					flights = append(flights, &flight{hold: hold, bytes: bytes})
+					requests = append(requests, &linkRequest{hold: hold, bytes: bytes})
 				}
 			case "flow":
-				for _, f := range flights {
-					flow(f, min(bytes, f.bytes-f.sent))
+				for _, r := range requests {
+					transferBytes(r, min(bytes, r.bytes-r.sent))
 				}
 			case "settle":
-				if len(flights) > 0 {
-					l.Settle(now, flights[0].hold, flights[0].sent)
-					flights = flights[1:]
+				if len(requests) > 0 {
+					l.Settle(now, requests[0].hold, requests[0].sent)
+					requests = requests[1:]
 				}
 			case "wait":
 				now = now.Add(time.Duration(ms) * time.Millisecond)
@@ -71,7 +72,7 @@
 
 func TestChargeIsAllOrNothing(t *testing.T) {
 	is := is.New(t)
-	l, _, now := started()
+	l, _, now := startedLedgers()
 	c := budget.Charge{Rules: []string{"r"}, Link: &budget.LinkID{From: "west", To: "east"}, Bytes: 200_000}
 	hold := l.Admit(now, c)
 	is.True(hold != nil)
@@ -86,13 +87,13 @@
 
 func TestAnswersUseTheLinkInTheirDirection(t *testing.T) {
 	is := is.New(t)
-	doc := pair(100)
+	doc := twoEntries(100)
 	doc.Links = append(doc.Links, doc.Links[0])
 	doc.Links[1].From, doc.Links[1].To = "east", "west"
 	l := budget.NewLedger(budget.Owner{Entry: "e1"}, budget.Config{}, epoch)
 	l.SetDocument(epoch, 1, doc)
-	l.Admit(epoch.Add(wait-2*time.Second), budget.Charge{})
-	now := epoch.Add(wait)
+	l.Admit(epoch.Add(startupWait-2*time.Second), budget.Charge{})
+	now := epoch.Add(startupWait)
 	c := budget.Charge{Link: &budget.LinkID{From: "west", To: "east"}, Bytes: 1000, AnswerBytes: 200_000}
 	for range 2 {
 		hold := l.Admit(now, c)
@@ -104,13 +105,13 @@
 	is.True(l.Admit(now, budget.Charge{Link: c.Link, Bytes: 248_000}) != nil)
 }
 
-func TestShiftRamps(t *testing.T) {
+func TestShareRampsUpAfterIdleTime(t *testing.T) {
 	is := is.New(t)
-	doc := pair(100)
+	doc := twoEntries(100)
 	doc.Rules[0].Ramp = 10_000_000_000
 	l := budget.NewLedger(budget.Owner{Entry: "e1"}, budget.Config{}, epoch)
 	l.SetDocument(epoch, 1, doc)
-	now := epoch.Add(wait)
+	now := epoch.Add(startupWait)
 	l.SetVersions(now, nil)
 	now = now.Add(2 * time.Second)
 	var got []int
@@ -120,24 +121,24 @@
 	}
 	is.Equal(got[:4], []int{5, 9, 14, 19})
 	is.Equal(got[10:], []int{50, 50})
-	now = now.Add(20 * time.Second) // the shift has ended; the next ramps anew
+	now = now.Add(20 * time.Second) // the ramp has ended; after idle time it starts again
 	is.Equal(takeAll(l, now), 5)
 }
 
 // TestLinkAddedInFlight ends a request that was admitted before its link was in
-// the document: it frees nothing that others hold.
+// the document. It guards against releasing units that other requests hold.
 func TestLinkAddedInFlight(t *testing.T) {
 	is := is.New(t)
-	_, l, now := started()
-	none := pair(100)
+	_, l, now := startedLedgers()
+	none := twoEntries(100)
 	none.Links = nil
 	l.SetDocument(now, 2, none)
 	c := budget.Charge{Link: &budget.LinkID{From: "west", To: "east"}, Bytes: 200_000}
 	early := l.Admit(now, c)
-	l.SetDocument(now, 3, pair(100))
+	l.SetDocument(now, 3, twoEntries(100))
 	now = now.Add(time.Second)
 	l.SetVersions(now, map[string]uint64{"e1": 3})
-	now = now.Add(wait)
+	now = now.Add(startupWait)
 	is.True(l.Admit(now, c) != nil)
 	l.Settle(now, early, 0)
 	is.True(l.Admit(now, c) == nil) // the second request is still in flight
--- a/internal/core/budget/loans.go
+++ b/internal/core/budget/loans.go
@@ -7,82 +7,84 @@
 )
 
 const (
-	// renewBefore is the part of a term before whose end a loan is renewed:
-	// one in renewBefore.
-	renewBefore = 2
-	// hungryAbove is the demand, in percent of what is usable, above which an
-	// entry borrows.
-	hungryAbove = 80
-	// firstAsk and nextAsk are how much of the demand is asked for, in percent:
-	// more at first, when the demand is rising, than once there are loans.
-	firstAsk = 120
-	nextAsk  = 105
+	// renewDivisor gives the part of the term before its end in which a loan is
+	// renewed: one in renewDivisor.
+	renewDivisor = 2
+	// borrowThresholdPercent is the demand, in percent of the usable part of an
+	// entry's own share, above which it borrows.
+	borrowThresholdPercent = 80
+	// initialRequestPercent and followUpRequestPercent are the units an entry
+	// aims to have, in percent of its demand. The first is larger because
+	// demand is rising when there are no loans yet.
+	initialRequestPercent  = 120
+	followUpRequestPercent = 105
 )
 
-// Wants returns the requests for loans that this entry should send now. It is
-// called a few times a second; the answers go to Borrowed.
+// Wants returns the loan requests that this entry should send now. It is called
+// a few times a second; the answers are passed to Borrowed.
 func (l *Ledger) Wants(now time.Time) []BorrowRequest {
-	now = l.tick(now)
+	now = l.monotonic(now)
 	if now.Before(l.usableFrom) {
 		return nil
 	}
 	var requests []BorrowRequest
 	for _, name := range slices.Sorted(maps.Keys(l.buckets)) {
-		requests = append(requests, l.wantsOf(now, l.buckets[name])...)
+		requests = append(requests, l.loanRequests(now, l.buckets[name])...)
 	}
 	return requests
 }
 
-// wantsOf asks for what the demand of the last window lacks: first the loans
-// that end soon, then new lenders in turn.
-func (l *Ledger) wantsOf(now time.Time, b *bucket) []BorrowRequest {
+// loanRequests requests what the entry lacks for the demand of the last window:
+// first it renews the loans that end soon, then it tries new lenders in
+// round-robin order.
+func (l *Ledger) loanRequests(now time.Time, b *bucket) []BorrowRequest {
 	demand := b.demand.used(now)
-	if demand*percent <= l.ownUsable(now, b)*hungryAbove {
+	if demand*percent <= l.ownUsable(now, b)*borrowThresholdPercent {
 		return nil
 	}
-	asked := int64(firstAsk)
+	targetPercent := int64(initialRequestPercent)
 	if len(b.borrowed) > 0 {
-		asked = nextAsk
+		targetPercent = followUpRequestPercent
 	}
-	missing := demand*asked/percent - l.ownUsable(now, b)
+	missing := demand*targetPercent/percent - l.ownUsable(now, b)
 	var requests []BorrowRequest
 	for _, lender := range slices.Sorted(maps.Keys(b.borrowed)) {
-		units, _ := largest(now, slices.Clone(b.borrowed[lender]))
+		units, _ := largestLoan(now, slices.Clone(b.borrowed[lender]))
 		if units == 0 || missing <= 0 {
 			continue
 		}
 		if l.endsSoon(now, b.borrowed[lender], units) {
-			requests = append(requests, l.request(b, lender, min(units, missing)))
+			requests = append(requests, l.newRequest(b, lender, min(units, missing)))
 		}
 		missing -= units
 	}
-	for range l.cfg.AskAtOnce {
+	for range l.cfg.MaxNewLenders {
 		lender := l.nextLender(now, b)
 		if missing <= 0 || lender == "" {
 			break
 		}
-		requests = append(requests, l.request(b, lender, missing))
+		requests = append(requests, l.newRequest(b, lender, missing))
 	}
 	return requests
 }
 
-// ownUsable is what may be used without loans from others.
+// ownUsable returns how much may be used without loans from others.
 func (l *Ledger) ownUsable(now time.Time, b *bucket) int64 {
 	return max(0, b.limit-b.lentUnits(now))
 }
 
-// endsSoon says whether no loan of these units lasts for another part of the
-// term.
+// endsSoon reports whether every loan of at least these units is in the last
+// part of its term, in which it is renewed.
 func (l *Ledger) endsSoon(now time.Time, loans []loan, units int64) bool {
-	for _, one := range loans {
-		if one.units >= units && one.until.Sub(now) > l.cfg.Term/renewBefore {
+	for _, ln := range loans {
+		if ln.units >= units && ln.until.Sub(now) > l.cfg.Term/renewDivisor {
 			return false
 		}
 	}
 	return true
 }
 
-func (l *Ledger) request(b *bucket, lender string, units int64) BorrowRequest {
+func (l *Ledger) newRequest(b *bucket, lender string, units int64) BorrowRequest {
 	return BorrowRequest{
 		Bucket:              b.name,
 		Lender:              lender,
@@ -94,15 +96,16 @@
 	}
 }
 
-// nextLender returns the next entry with a share that has lent nothing and
-// hasn't refused just now; empty when there is none.
+// nextLender returns the next entry that has a share, has no loan to this
+// entry, and neither was tried nor refused in the last half window; empty when
+// there is none.
 func (l *Ledger) nextLender(now time.Time, b *bucket) string {
 	var lenders []string
-	for entry, share := range b.now.shares {
+	for entry, share := range b.current.shares {
 		if entry == l.self.Entry || share == 0 || len(b.borrowed[entry]) > 0 {
 			continue
 		}
-		if now.Before(b.refused[entry]) {
+		if now.Before(b.retryAfter[entry]) {
 			continue
 		}
 		lenders = append(lenders, entry)
@@ -111,31 +114,31 @@
 		return ""
 	}
 	slices.Sort(lenders)
-	i, found := slices.BinarySearch(lenders, b.asked)
+	i, found := slices.BinarySearch(lenders, b.lastLender)
 	if found {
 		i++
 	}
-	b.asked = lenders[i%len(lenders)]
-	b.refused[b.asked] = now.Add(l.cfg.Window / 2)
-	return b.asked
+	b.lastLender = lenders[i%len(lenders)]
+	b.retryAfter[b.lastLender] = now.Add(l.cfg.Window / 2)
+	return b.lastLender
 }
 
-// Lend answers another entry's request. What is granted is taken from the own
-// share at once; it has lain unused for a whole window, unless that borrower
-// has it already.
+// Lend answers another entry's loan request. The granted units are taken from
+// this entry's share at once. They have been unused for a whole window, unless
+// the borrower has them on loan already.
 func (l *Ledger) Lend(now time.Time, r BorrowRequest) Grant {
-	now = l.tick(now)
-	l.settleLimits(now)
+	now = l.monotonic(now)
+	l.raiseLimits(now)
 	b, ok := l.buckets[r.Bucket]
 	if !ok || now.Before(l.usableFrom) || r.Borrower == l.self.Entry || r.Units <= 0 {
 		return Grant{}
 	}
-	if r.DocumentVersion > l.version || r.DocumentVersion < b.now.version {
+	if r.DocumentVersion > l.version || r.DocumentVersion < b.current.version {
 		return Grant{}
 	}
 	id := borrowerID{r.Borrower, r.BorrowerIncarnation}
-	has, _ := largest(now, b.lent[id])
-	units := min(r.Units, max(0, has+l.spare(now, b)))
+	alreadyLent, _ := largestLoan(now, b.lent[id])
+	units := min(r.Units, max(0, alreadyLent+l.spare(now, b)))
 	if units <= 0 {
 		return Grant{}
 	}
@@ -147,26 +150,26 @@
 	return Grant{Units: units, Term: term}
 }
 
-// spare is what the own share has left after loans, the use of the last window
-// and a part that is kept. It is negative when the own demand lacks units, so
-// that loans aren't renewed.
+// spare returns what is left of this entry's share after loans, its own need in
+// the last window, and the reserve. It is negative when the entry itself lacks
+// units; loans aren't renewed then.
 func (l *Ledger) spare(now time.Time, b *bucket) int64 {
-	keep := b.limit / int64(l.cfg.KeepOneIn)
-	need := max(b.use.used(now)+b.held, b.demand.used(now)) + keep
+	reserve := b.limit / int64(l.cfg.ReserveDivisor)
+	need := max(b.use.used(now)+b.reserved, b.demand.used(now)) + reserve
 	return b.limit - b.lentUnits(now) - need
 }
 
 // Borrowed records the answer to a request that was sent at sentAt. A loan
-// from before a change of the bucket's shares isn't used.
+// requested before the bucket's split changed is ignored.
 func (l *Ledger) Borrowed(now time.Time, r BorrowRequest, sentAt time.Time, g Grant) {
-	now = l.tick(now)
+	now = l.monotonic(now)
 	b, ok := l.buckets[r.Bucket]
-	if !ok || r.BorrowerIncarnation != l.self.Incarnation || r.DocumentVersion < b.now.version {
+	if !ok || r.BorrowerIncarnation != l.self.Incarnation || r.DocumentVersion < b.current.version {
 		return
 	}
 	until := sentAt.Add(min(g.Term, r.Term))
 	if g.Units <= 0 || !now.Before(until) {
-		b.refused[r.Lender] = now.Add(l.cfg.Window / 2)
+		b.retryAfter[r.Lender] = now.Add(l.cfg.Window / 2)
 		return
 	}
 	b.borrowed[r.Lender] = append(b.borrowed[r.Lender], loan{units: min(g.Units, r.Units), until: until})
--- a/internal/core/budget/meter.go
+++ b/internal/core/budget/meter.go
@@ -3,8 +3,8 @@
 import "time"
 
 // meter counts units in a sliding window divided into bins. It covers the
-// window, widened by the drift of clocks, and the whole bin in which it begins,
-// so the count is never below that of any window that ends now.
+// window, lengthened by the clock drift, and the whole bin in which the window
+// begins, so the count is never below that of any window that ends now.
 type meter struct {
 	origin time.Time
 	width  time.Duration
@@ -15,12 +15,13 @@
 
 func newMeter(cfg Config, now time.Time) *meter {
 	width := cfg.Window / time.Duration(cfg.Bins)
-	covered := cfg.slower(cfg.Window)
+	covered := cfg.withDrift(cfg.Window)
 	count := int((covered+width-1)/width) + 1
 	return &meter{origin: now, width: width, bins: make([]int64, count)}
 }
 
-// advance drops the bins that have left the window. Time never runs back.
+// advance drops the bins that have left the window. The time passed in never
+// decreases.
 func (m *meter) advance(now time.Time) {
 	bin := int64(now.Sub(m.origin) / m.width)
 	if bin <= m.last {
@@ -46,7 +47,7 @@
 	return m.sum
 }
 
-// add counts units now.
+// add counts units at the time now.
 func (m *meter) add(now time.Time, units int64) {
 	m.advance(now)
 	m.bins[m.last%int64(len(m.bins))] += units
--- a/internal/core/budget/property_test.go
+++ b/internal/core/budget/property_test.go
@@ -21,31 +21,31 @@
 	testseed.Main(m, testseed.Settings{Seed: propertySeed, Checks: propertyChecks})
 }
 
-// world is three entries with clocks of their own that share the cap of one
-// rule and one link, and the messages between them.
-type world struct {
-	rt      *rapid.T
-	now     time.Duration // true time
-	nodes   []*node
-	docs    []*document.Document // by version, from 1
-	mail    []message
-	flights []onItsWay
-	admits  []time.Duration // when requests arrived
-	carried []bytesAt
-	changes []inForce
+// simulation is three entries, each with its own clock, that share the cap of
+// one rule and one link, and the messages between them.
+type simulation struct {
+	rt        *rapid.T
+	now       time.Duration // real time
+	nodes     []*node
+	documents []*document.Document // by version, from 1
+	messages  []message
+	inFlight  []inFlightRequest
+	arrivals  []time.Duration // when requests arrived
+	linkBytes []linkTransfer
+	versions  []versionInterval
 }
 
-// bytesAt is what went over the link at one moment.
-type bytesAt struct {
+// linkTransfer is a number of bytes that went over the link at one time.
+type linkTransfer struct {
 	at    time.Duration
 	bytes int64
 }
 
-// linkLimit is what the link may carry in a second: 50% of 8 Mbit/s.
+// linkLimit is how many bytes the link may carry in a second: 50% of 8 Mbit/s.
 const linkLimit = 500_000
 
-// onItsWay is a request that was sent and hasn't been counted as arrived yet.
-type onItsWay struct {
+// inFlightRequest is a request that was sent and isn't settled yet.
+type inFlightRequest struct {
 	sender           *node
 	ledger           *budget.Ledger
 	hold             *budget.Hold
@@ -63,7 +63,8 @@
 	version     uint64
 }
 
-// message is a request, an answer, or the sight of another's version.
+// message is a loan request, an answer to one, or a report of an entry's
+// version.
 type message struct {
 	to      int
 	request *budget.BorrowRequest
@@ -73,8 +74,8 @@
 	version uint64
 }
 
-// inForce says that a version was in force at an entry until a time.
-type inForce struct {
+// versionInterval is the time in which a version was in force at an entry.
+type versionInterval struct {
 	node     int
 	version  uint64
 	from, to time.Duration
@@ -82,79 +83,80 @@
 
 const never = time.Duration(1<<62 - 1)
 
-func (w *world) clock(n *node) time.Time {
+func (w *simulation) clock(n *node) time.Time {
 	drift := time.Duration(int64(w.now/time.Microsecond) * n.ppm / 1000)
 	return epoch.Add(n.offset + w.now + drift)
 }
 
-func (w *world) restart(i int) {
+func (w *simulation) restart(i int) {
 	n := w.nodes[i]
 	n.incarnation++
 	n.ledger = budget.NewLedger(
 		budget.Owner{Entry: n.name, Incarnation: n.incarnation},
-		budget.Config{Forget: -1}, w.clock(n))
+		budget.Config{ReportTimeout: -1}, w.clock(n))
 	n.version = 0
 }
 
 // adopt puts the newest version in force at an entry.
-func (w *world) adopt(i int) {
+func (w *simulation) adopt(i int) {
 	n := w.nodes[i]
-	version := uint64(len(w.docs))
+	version := uint64(len(w.documents))
 	if n.version == version {
 		return
 	}
-	for k := range w.changes {
-		if w.changes[k].node == i && w.changes[k].to == never {
-			w.changes[k].to = w.now
+	for k := range w.versions {
+		if w.versions[k].node == i && w.versions[k].to == never {
+			w.versions[k].to = w.now
 		}
 	}
-	w.changes = append(w.changes, inForce{i, version, w.now, never})
+	w.versions = append(w.versions, versionInterval{i, version, w.now, never})
 	n.version = version
-	n.ledger.SetDocument(w.clock(n), version, w.docs[version-1])
+	n.ledger.SetDocument(w.clock(n), version, w.documents[version-1])
 }
 
-// burst sends as much as an entry lets through at one moment. It arrives after
-// a delay, and is counted as arrived then, or when its transit is over.
-func (w *world) burst(i, most int) {
+// burst sends as many requests as an entry admits at one moment, up to limit.
+// They arrive after a delay, and are settled then or when their transit is
+// over.
+func (w *simulation) burst(i, limit int) {
 	n := w.nodes[i]
 	delay := time.Duration(rapid.SampledFrom([]int{0, 0, 20, 50}).Draw(w.rt, "delay")) * time.Millisecond
 	late := rapid.Bool().Draw(w.rt, "late")
 	bytes := rapid.SampledFrom([]int64{0, 0, 0, 7_000, 60_000}).Draw(w.rt, "bytes")
-	for range most {
+	for range limit {
 		hold := n.take(w.clock(n), bytes)
 		if hold == nil {
 			break
 		}
-		f := onItsWay{
+		f := inFlightRequest{
 			sender: n, ledger: n.ledger, hold: hold, bytes: bytes,
 			arrives: w.now + delay, settles: w.now + delay,
 		}
 		if late {
 			f.settles = w.now + budget.DefaultTransit
 		}
-		w.flights = append(w.flights, f)
+		w.inFlight = append(w.inFlight, f)
 	}
-	w.pass(0)
+	w.advance(0)
 }
 
-// take reserves bytes on the link, or a unit of the rule for none.
+// take reserves bytes on the link, or a unit of the rule when bytes is 0.
 func (n *node) take(now time.Time, bytes int64) *budget.Hold {
 	if bytes == 0 {
-		return n.ledger.Take(now, move)
+		return n.ledger.Take(now, ruleNames)
 	}
 	return n.ledger.Admit(now, budget.Charge{Link: &budget.LinkID{From: "west", To: "east"}, Bytes: bytes})
 }
 
-// land counts what has arrived.
-func (w *world) land(f onItsWay) {
+// recordArrival counts a request that has arrived and checks the limits.
+func (w *simulation) recordArrival(f inFlightRequest) {
 	if f.bytes == 0 {
-		w.admits = append(w.admits, w.now)
+		w.arrivals = append(w.arrivals, w.now)
 		w.check()
 		return
 	}
-	w.carried = append(w.carried, bytesAt{w.now, f.bytes})
+	w.linkBytes = append(w.linkBytes, linkTransfer{w.now, f.bytes})
 	sum := int64(0)
-	for _, c := range w.carried {
+	for _, c := range w.linkBytes {
 		if c.at >= w.now-time.Second {
 			sum += c.bytes
 		}
@@ -164,16 +166,16 @@
 	}
 }
 
-// pass lets time pass, in which requests arrive and are counted as arrived.
-func (w *world) pass(d time.Duration) {
+// advance lets time pass, in which requests arrive and are settled.
+func (w *simulation) advance(d time.Duration) {
 	end := w.now + d
 	for at := w.now; at <= end; at += time.Millisecond {
 		w.now = at
-		left := w.flights[:0]
-		for _, f := range w.flights {
+		left := w.inFlight[:0]
+		for _, f := range w.inFlight {
 			if !f.arrived && f.arrives <= at {
 				f.arrived = true
-				w.land(f)
+				w.recordArrival(f)
 			}
 			if f.arrived && f.settles <= at {
 				f.ledger.Settle(w.clock(f.sender), f.hold, f.bytes)
@@ -181,7 +183,7 @@
 			}
 			left = append(left, f)
 		}
-		w.flights = left
+		w.inFlight = left
 		if len(left) == 0 {
 			break
 		}
@@ -190,17 +192,17 @@
 }
 
 // check compares the arrivals in the window that ends now with the highest cap
-// that was in force anywhere when they were sent.
-func (w *world) check() {
+// that was in force at any entry when they were sent.
+func (w *simulation) check() {
 	begin := w.now - time.Second
 	count := 0
-	for k := len(w.admits) - 1; k >= 0 && w.admits[k] >= begin; k-- {
+	for k := len(w.arrivals) - 1; k >= 0 && w.arrivals[k] >= begin; k-- {
 		count++
 	}
 	highest := 0
-	for _, c := range w.changes {
+	for _, c := range w.versions {
 		if c.to >= begin-budget.DefaultTransit {
-			highest = max(highest, w.docs[c.version-1].Rules[0].RequestsPerS)
+			highest = max(highest, w.documents[c.version-1].Rules[0].RequestsPerS)
 		}
 	}
 	if count > highest {
@@ -208,21 +210,21 @@
 	}
 }
 
-func (w *world) ask(i int) {
+func (w *simulation) sendLoanRequests(i int) {
 	n := w.nodes[i]
 	for _, r := range n.ledger.Wants(w.clock(n)) {
 		for k, other := range w.nodes {
 			if other.name == r.Lender {
-				w.mail = append(w.mail, message{to: k, request: &r, sentAt: w.clock(n), from: n.name})
+				w.messages = append(w.messages, message{to: k, request: &r, sentAt: w.clock(n), from: n.name})
 			}
 		}
 	}
 }
 
-func (w *world) deliver(k int, keep bool) {
-	m := w.mail[k]
+func (w *simulation) deliver(k int, keep bool) {
+	m := w.messages[k]
 	if !keep {
-		w.mail = append(w.mail[:k:k], w.mail[k+1:]...)
+		w.messages = append(w.messages[:k:k], w.messages[k+1:]...)
 	}
 	n := w.nodes[m.to]
 	switch {
@@ -232,7 +234,7 @@
 		grant := n.ledger.Lend(w.clock(n), *m.request)
 		for back, other := range w.nodes {
 			if other.name == m.from {
-				w.mail = append(w.mail, message{to: back, request: m.request, answer: &grant, sentAt: m.sentAt})
+				w.messages = append(w.messages, message{to: back, request: m.request, answer: &grant, sentAt: m.sentAt})
 			}
 		}
 	default:
@@ -240,17 +242,17 @@
 	}
 }
 
-// tell sends every other entry the version of entry i.
-func (w *world) tell(i int) {
+// sendVersion sends the version of entry i to every other entry.
+func (w *simulation) sendVersion(i int) {
 	for k := range w.nodes {
 		if k != i {
-			w.mail = append(w.mail, message{to: k, from: w.nodes[i].name, version: w.nodes[i].version})
+			w.messages = append(w.messages, message{to: k, from: w.nodes[i].name, version: w.nodes[i].version})
 		}
 	}
 }
 
 func threeEntries(cap int, percents []int) *document.Document {
-	doc := pair(cap)
+	doc := twoEntries(cap)
 	doc.Places[1].Entries = []document.Entry{{Name: "e1"}, {Name: "e2"}, {Name: "e3"}}
 	for k, p := range percents {
 		doc.Rules[0].Shares = append(doc.Rules[0].Shares, document.Share{Entry: fmt.Sprintf("e%d", k+1), Percent: p})
@@ -258,27 +260,28 @@
 	return doc
 }
 
-func (w *world) change() {
+func (w *simulation) change() {
 	cap := rapid.SampledFrom([]int{9, 30, 60}).Draw(w.rt, "cap")
 	splits := [][]int{nil, {100, 0, 0}, {0, 100, 0}, {0, 0, 100}, {50, 50, 0}}
-	w.docs = append(w.docs, threeEntries(cap, rapid.SampledFrom(splits).Draw(w.rt, "split")))
+	w.documents = append(w.documents, threeEntries(cap, rapid.SampledFrom(splits).Draw(w.rt, "split")))
 }
 
-// settle lets messages through and time pass, so that shares get usable.
-func (w *world) settle(seconds int) {
+// convergeFor delivers all messages and lets time pass, so that shares become
+// usable.
+func (w *simulation) convergeFor(seconds int) {
 	for range seconds {
 		for i := range w.nodes {
 			w.adopt(i)
-			w.tell(i)
+			w.sendVersion(i)
 		}
-		for len(w.mail) > 0 {
+		for len(w.messages) > 0 {
 			w.deliver(0, false)
 		}
-		w.pass(time.Second)
+		w.advance(time.Second)
 	}
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	i := rapid.IntRange(0, len(w.nodes)-1).Draw(w.rt, "entry")
 	switch rapid.SampledFrom([]string{
 		"burst", "burst", "burst", "trickle", "ask", "ask", "deliver", "deliver", "deliver", "deliver", "repeat",
@@ -289,20 +292,20 @@
 	case "trickle":
 		w.burst(i, rapid.IntRange(1, 12).Draw(w.rt, "requests"))
 	case "ask":
-		w.ask(i)
+		w.sendLoanRequests(i)
 	case "deliver":
-		for range min(3, len(w.mail)) {
-			w.deliver(rapid.IntRange(0, len(w.mail)-1).Draw(w.rt, "mail"), false)
+		for range min(3, len(w.messages)) {
+			w.deliver(rapid.IntRange(0, len(w.messages)-1).Draw(w.rt, "mail"), false)
 		}
 	case "repeat":
-		if len(w.mail) > 0 {
-			w.deliver(len(w.mail)-1, true)
+		if len(w.messages) > 0 {
+			w.deliver(len(w.messages)-1, true)
 		}
 	case "lose":
-		w.mail = nil
+		w.messages = nil
 	case "wait":
 		ms := rapid.SampledFrom([]int{1, 10, 50, 200, 500, 800, 1000, 2900, 5000}).Draw(w.rt, "ms")
-		w.pass(time.Duration(ms) * time.Millisecond)
+		w.advance(time.Duration(ms) * time.Millisecond)
 	case "restart":
 		w.restart(i)
 		w.adopt(i)
@@ -311,16 +314,16 @@
 	case "adopt":
 		w.adopt(i)
 	case "tell":
-		w.tell(i)
+		w.sendVersion(i)
 	case "settle":
-		w.settle(rapid.IntRange(1, 8).Draw(w.rt, "seconds"))
+		w.convergeFor(rapid.IntRange(1, 8).Draw(w.rt, "seconds"))
 	}
 }
 
 func TestCapHoldsInEveryWindow(t *testing.T) {
-	admitted, parcels := 0, 0
+	admitted, transfers := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &world{rt: rt, docs: []*document.Document{threeEntries(30, nil)}}
+		w := &simulation{rt: rt, documents: []*document.Document{threeEntries(30, nil)}}
 		for k := range 3 {
 			w.nodes = append(w.nodes, &node{
 				name:   fmt.Sprintf("e%d", k+1),
@@ -329,12 +332,12 @@
 			})
 			w.restart(k)
 		}
-		w.settle(8)
+		w.convergeFor(8)
 		for range rapid.IntRange(20, 120).Draw(rt, "steps") {
 			w.step()
 		}
-		admitted += len(w.admits)
-		parcels += len(w.carried)
+		admitted += len(w.arrivals)
+		transfers += len(w.linkBytes)
 	})
-	t.Logf("%d requests and %d parcels admitted", admitted, parcels)
+	t.Logf("%d requests and %d link transfers admitted", admitted, transfers)
 }
--- a/internal/core/budget/raise.go
+++ b/internal/core/budget/raise.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// settleLimits raises the shares that nothing holds down any more.
-func (l *Ledger) settleLimits(now time.Time) {
+// raiseLimits raises the shares that have been unblocked for a quiet period.
+func (l *Ledger) raiseLimits(now time.Time) {
 	if now.Before(l.usableFrom) {
 		return
 	}
 	for _, b := range l.buckets {
-		if b.whole {
+		if b.raised {
 			continue
 		}
-		if l.heldDown(now, b) {
-			b.clear = time.Time{}
+		if l.raiseBlocked(now, b) {
+			b.unblockedSince = time.Time{}
 			continue
 		}
-		if b.clear.IsZero() {
-			b.clear = now
+		if b.unblockedSince.IsZero() {
+			b.unblockedSince = now
 		}
-		if now.Sub(b.clear) >= l.cfg.lull() {
+		if now.Sub(b.unblockedSince) >= l.cfg.quietPeriod() {
 			b.raise(l.self.Entry)
 		}
 	}
 }
 
-// heldDown says whether some other entry may still use more of a bucket than
-// the split in force gives it.
-func (l *Ledger) heldDown(now time.Time, b *bucket) bool {
-	for entry := range b.now.weights {
+// raiseBlocked reports whether some other entry may still use more of a bucket
+// than the split in force gives it.
+func (l *Ledger) raiseBlocked(now time.Time, b *bucket) bool {
+	for entry := range b.current.weights {
 		if l.mayExceed(now, b, entry) {
 			return true
 		}
@@ -42,45 +42,46 @@
 	return false
 }
 
-// mayExceed says whether an entry may still use more of a bucket than the
+// mayExceed reports whether an entry may still use more of a bucket than the
 // split in force gives it: it isn't known to have this version, and either it
-// had more under an earlier one, or versions in between aren't known here.
+// had more under an earlier one, or it may have versions whose splits aren't
+// known here. An entry whose last report is stale no longer counts.
 func (l *Ledger) mayExceed(now time.Time, b *bucket, entry string) bool {
 	if entry == l.self.Entry {
 		return false
 	}
-	seen := l.seen[entry]
-	if seen.version == l.version {
+	reported := l.reported[entry]
+	if reported.version == l.version {
 		return false
 	}
-	if l.forgotten(now, seen) {
+	if l.reportStale(now, reported) {
 		return false
 	}
-	if seen.version > l.version || seen.version < max(l.unbroken, b.from) {
+	if reported.version > l.version || reported.version < max(l.contiguousFrom, b.knownFrom) {
 		return true
 	}
-	given := b.now.weights[entry]
+	allotted := b.current.weights[entry]
 	for i, s := range b.past {
-		next := b.now.version
+		next := b.current.version
 		if i+1 < len(b.past) {
 			next = b.past[i+1].version
 		}
-		if next > seen.version && given.below(s.weights[entry]) {
+		if next > reported.version && allotted.lessThan(s.weights[entry]) {
 			return true
 		}
 	}
 	return false
 }
 
-// forgotten says whether an entry hasn't been heard of for so long that it
-// holds nothing down.
-func (l *Ledger) forgotten(now time.Time, seen sighting) bool {
-	if l.cfg.Forget < 0 {
+// reportStale reports whether an entry's last report is so old that the entry
+// no longer blocks the raising of shares.
+func (l *Ledger) reportStale(now time.Time, report versionReport) bool {
+	if l.cfg.ReportTimeout < 0 {
 		return false
 	}
-	since := seen.at
-	if since.IsZero() {
-		since = l.usableFrom
+	reportedAt := report.at
+	if reportedAt.IsZero() {
+		reportedAt = l.usableFrom
 	}
-	return now.Sub(since) >= l.cfg.Forget
+	return now.Sub(reportedAt) >= l.cfg.ReportTimeout
 }
--- a/internal/core/budget/split.go
+++ b/internal/core/budget/split.go
@@ -8,23 +8,23 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// ruleBucket names the bucket of a rule, linkBucket that of a link.
+// ruleBucket returns the name of a rule's bucket, linkBucket that of a link's.
 func ruleBucket(rule string) string { return "rule:" + rule }
 
 func linkBucket(id LinkID) string { return "link:" + id.From + ">" + id.To }
 
 // weight is an entry's part of a cap, as a fraction.
-type weight struct{ part, whole int64 }
+type weight struct{ numerator, denominator int64 }
 
-// below says whether a weight is less than another.
-func (w weight) below(other weight) bool {
-	return w.part*max(1, other.whole) < other.part*max(1, w.whole)
+// lessThan reports whether a weight is less than another.
+func (w weight) lessThan(other weight) bool {
+	return w.numerator*max(1, other.denominator) < other.numerator*max(1, w.denominator)
 }
 
-// of returns the part of a number of units, rounded down.
-func (w weight) of(units int64) int64 { return units * w.part / max(1, w.whole) }
+// of returns this fraction of a number of units, rounded down.
+func (w weight) of(units int64) int64 { return units * w.numerator / max(1, w.denominator) }
 
-// split is how a document divides one cap.
+// split is how a document divides one cap over entries.
 type split struct {
 	version uint64
 	units   int64
@@ -34,30 +34,30 @@
 	ramp    time.Duration
 }
 
-// has says whether an entry is one of the destination's.
-func (s split) has(entry string) bool {
+// includes reports whether an entry takes part in the split.
+func (s split) includes(entry string) bool {
 	_, ok := s.weights[entry]
 	return ok
 }
 
-// same says whether two splits divide the same cap in the same way.
-func (s split) same(other split) bool {
+// equal reports whether two splits divide the same cap in the same way.
+func (s split) equal(other split) bool {
 	return s.units == other.units && maps.Equal(s.weights, other.weights)
 }
 
-// splitsOf derives the split of every cap in a document: of a rule over the
-// entries of its destination, of a link over those of both regions, because
-// entries of the one admit the requests and those of the other send the answers
-// that it carries.
+// splitsOf derives the split of every cap in a document. A rule's cap is split
+// over the entries of its destination. A link's is split over the entries of
+// both regions, because entries of one region admit the requests that it
+// carries and entries of the other send the answers.
 func splitsOf(version uint64, doc *document.Document) map[string]split {
 	splits := make(map[string]split, len(doc.Rules)+len(doc.Links))
 	for i := range doc.Rules {
 		rule := &doc.Rules[i]
 		units := int64(rule.RequestsPerS)
 		entries := entriesOf(doc, rule.To)
-		s := evenly(units, entries)
+		s := splitEvenly(units, entries)
 		if len(rule.Shares) > 0 {
-			s = byPercent(units, entries, rule.Shares)
+			s = splitByPercent(units, entries, rule.Shares)
 		}
 		s.version = version
 		s.ramp = rule.Ramp.Std()
@@ -65,7 +65,7 @@
 	}
 	for _, link := range doc.Links {
 		units := int64(link.MbitPerS) * bitsPerMegabit / bitsPerByte * int64(link.FillPercent) / percent
-		s := evenly(units, entriesOf(doc, link.From, link.To))
+		s := splitEvenly(units, entriesOf(doc, link.From, link.To))
 		s.version = version
 		splits[linkBucket(LinkID{From: link.From, To: link.To})] = s
 	}
@@ -87,9 +87,9 @@
 	return slices.Compact(entries)
 }
 
-// evenly divides units over entries. What is left over when the share is
-// rounded down is spread, so that the shares sum to the cap.
-func evenly(units int64, entries []string) split {
+// splitEvenly divides units evenly over entries. The remainder is spread over
+// them, so that the shares sum to the cap.
+func splitEvenly(units int64, entries []string) split {
 	n := int64(len(entries))
 	s := newSplit(units, n)
 	for i, entry := range entries {
@@ -100,10 +100,10 @@
 	return s
 }
 
-// byPercent divides units by the shares of a rule, rounded down. Shares of
-// entries that aren't in the destination are left out, and what sums to over
-// 100 is cut.
-func byPercent(units int64, entries []string, list []document.Share) split {
+// splitByPercent divides units by the shares of a rule, rounded down. Shares of
+// entries that aren't in the destination aren't given to others, and
+// percentages beyond a sum of 100 are cut off.
+func splitByPercent(units int64, entries []string, list []document.Share) split {
 	s := newSplit(units, int64(len(entries)))
 	for _, entry := range entries {
 		s.weights[entry] = weight{0, percent}
@@ -113,7 +113,7 @@
 		part := min(left, int64(max(0, share.Percent)))
 		left -= part
 		if w, ok := s.weights[share.Entry]; ok {
-			w.part += part
+			w.numerator += part
 			s.weights[share.Entry] = w
 		}
 	}
