--- a/internal/core/claims/handover.go
+++ b/internal/core/claims/handover.go
@@ -6,38 +6,39 @@
 	"sassafrasreach/internal/core/verdict"
 )
 
-// formerHome is what is known of a home whose claims were imported.
+// formerHome is the state kept of a home whose claims were imported.
 type formerHome struct {
-	// complete says that the home started nothing besides the imported rows and
-	// never will.
+	// complete is set when the home started nothing besides the imported rows
+	// and never will.
 	complete bool
-	// floor is the latest minting time among the evicted rows.
-	floor time.Time
-	// until is when all of the home's keys have expired.
-	until time.Time
+	// evictedUpTo is the latest minting time among the evicted rows.
+	evictedUpTo time.Time
+	// expires is when all of the home's keys have expired.
+	expires time.Time
 }
 
-// HandOver is what one entry gives to others about the keys of one home.
+// HandOver holds the claims of one home that one entry hands over to others.
 type HandOver struct {
 	// From is the home of all rows.
 	From Home
-	// Complete says that the home starts nothing any more and that the rows are
+	// Complete is set when the home starts nothing any more and the rows are
 	// all that it started.
 	Complete bool
-	// Rows are the claims.
+	// Rows are the claims of the home that may have run.
 	Rows []Row
 }
 
-// Seal makes the table refuse every key that it doesn't know. It can't be
-// undone. Attempts under way still finish, and resends get their answers.
+// Seal makes the table refuse every key that it has no claim of. It can't be
+// undone. Attempts in flight still finish, and resends get their stored
+// outcomes.
 func (t *Table) Seal() { t.sealed = true }
 
 // Complete reports whether an Export made now holds everything that this home
-// ever started: the table is sealed, and no claim was evicted before its time by
-// a clock that has since been set back. Attempts may be under way; their rows
-// say MayHaveRun until a later Export tells how they ended.
+// ever started and that may have run: the table is sealed, and no claim was
+// evicted too early by a clock that has since been set back. Attempts may be in
+// flight; their rows say MayHaveRun until a later Export has their outcomes.
 func (t *Table) Complete(now time.Time) bool {
-	return t.sealed && now.Sub(t.ranFloor) >= t.cfg.Retention
+	return t.sealed && now.Sub(t.mayHaveRunUpTo) >= t.cfg.Retention
 }
 
 // Export returns the claims of this home that may have run.
@@ -48,8 +49,8 @@
 func (t *Table) HandOvers(now time.Time) []HandOver {
 	all := []HandOver{{From: t.self, Complete: t.Complete(now), Rows: t.Export(now)}}
 	for home, former := range t.former {
-		if now.Before(former.until) {
-			complete := former.complete && now.Sub(former.floor) >= t.cfg.Retention
+		if now.Before(former.expires) {
+			complete := former.complete && now.Sub(former.evictedUpTo) >= t.cfg.Retention
 			all = append(all, HandOver{From: home, Complete: complete, Rows: t.rows(now, home)})
 		}
 	}
@@ -75,33 +76,37 @@
 	return r
 }
 
-// Import takes over rows of the home from. With complete set the rows must be
-// everything that the home started, and the home must be sealed: then a key of
-// it that is in no row is NotRun. The same rows may be imported again, in any
-// order and by any number of entries. Import returns the number of rows that
-// found no room; their keys, and unknown ones, are MayHaveRun.
+// Import stores rows of the home from; rows of the table's own home are never
+// stored. When complete is set, the rows must be everything that the home
+// started, and the home must be sealed: a key of that home without a row is
+// NotRun then. The same rows may be imported again, in any order and by any
+// number of entries. Import returns the number of rows that it did not store,
+// because the table has no room or they belong to another home. If there are
+// any, keys of the home that have no row are MayHaveRun until a complete import
+// stores all rows.
 func (t *Table) Import(now time.Time, from Home, rows []Row, complete bool) int {
 	if from == t.self {
 		return len(rows)
 	}
 	t.Expire(now)
-	t.forgetFormer(now)
-	lost := 0
+	t.dropExpiredHomes(now)
+	dropped := 0
 	for _, r := range rows {
 		if r.Key.Home != from || !t.importRow(r) {
-			lost++
+			dropped++
 		}
 	}
 	t.former[from] = formerHome{
-		floor:    t.former[from].floor,
-		complete: (complete || t.former[from].complete) && lost == 0,
-		until:    now.Add(t.cfg.Retention + t.cfg.ClockSkew),
+		evictedUpTo: t.former[from].evictedUpTo,
+		complete:    (complete || t.former[from].complete) && dropped == 0,
+		expires:     now.Add(t.cfg.Retention + t.cfg.ClockSkew),
 	}
-	return lost
+	return dropped
 }
 
-// importRow stores one row and reports whether it is in the table. A row that
-// is known stays, unless the new one knows how the attempt ended.
+// importRow stores one row and reports whether its key has a claim in the
+// table. An existing claim is replaced only if the row says Ran and the claim
+// does not.
 func (t *Table) importRow(r Row) bool {
 	if known, ok := t.claims[r.Key.String()]; ok {
 		if known.outcome.Verdict == verdict.Ran || r.Outcome.Verdict != verdict.Ran {
@@ -118,24 +123,25 @@
 	return true
 }
 
-func (t *Table) forgetFormer(now time.Time) {
+func (t *Table) dropExpiredHomes(now time.Time) {
 	for home, former := range t.former {
-		if !now.Before(former.until) {
+		if !now.Before(former.expires) {
 			delete(t.former, home)
 		}
 	}
 }
 
-// beginFormer decides on a key that another incarnation is the home of and that
-// has no claim here. Such a key never starts here. It is NotRun only when the
-// former home sealed its table and gave all its rows away.
+// beginFormer decides on a key that has another home and no claim here. Such a
+// key never starts here. It is NotRun only when the former home sealed its
+// table and all its rows were imported, and the key is too recent for its row
+// to have been evicted.
 func (t *Table) beginFormer(now time.Time, k Key) Decision {
 	former, known := t.former[k.Home]
 	if !known || !former.complete {
 		return refusal(verdict.MayHaveRun, verdict.ReasonHomeLost)
 	}
 	tooOld := now.Sub(k.Minted) >= t.cfg.Retention-t.cfg.ClockSkew
-	if tooOld || !k.Minted.After(former.floor) {
+	if tooOld || !k.Minted.After(former.evictedUpTo) {
 		return refusal(verdict.MayHaveRun, verdict.ReasonKeyExpired)
 	}
 	return refusal(verdict.NotRun, verdict.ReasonHomeLost)
--- a/internal/core/claims/heap.go
+++ b/internal/core/claims/heap.go
@@ -1,9 +1,9 @@
 package claims
 
-// notQueued is the index of a claim that is in no heap.
+// notQueued is the index of a claim that is not in the heap.
 const notQueued = -1
 
-// claimHeap orders claims by the time they expire, the next one first. It implements
+// claimHeap orders claims by expiry, earliest first. It implements
 // heap.Interface.
 type claimHeap []*claim
 
--- a/internal/core/claims/key.go
+++ b/internal/core/claims/key.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// MaxKeyBytes bounds the text of a key.
+	// MaxKeyBytes is the maximum length of a key's text.
 	MaxKeyBytes = 256
-	// MaxUniqueBytes bounds the part of a key that the caller chooses.
+	// MaxUniqueBytes is the maximum length of the part of a key that the caller
+	// chooses.
 	MaxUniqueBytes = 64
 
 	keySeparator = "."
 	hexBase      = 16
 )
 
-// ErrBadKey is returned by ParseKey for text that is no key.
+// ErrBadKey is returned by ParseKey for a text that isn't a valid key.
 var ErrBadKey = errors.New("bad once-only key")
 
 // Home is the one incarnation of an entry that may start a key.
@@ -33,15 +34,16 @@
 type Key struct {
 	// Home is the only process that may start the key.
 	Home Home
-	// Minted is when the home gave out the token, by its clock, in whole
-	// seconds.
+	// Minted is when the home issued the token, by its clock, in whole seconds.
 	Minted time.Time
-	// Unique is the caller's part.
+	// Unique is the part that the caller chose.
 	Unique string
 }
 
-// NewToken returns the text that keys of the home begin with. A caller appends
-// a dot and its unique part of letters, digits, hyphens and underscores.
+// NewToken returns the text with which keys of the home begin: entry,
+// incarnation and minting time, separated by dots, the numbers in hexadecimal.
+// A caller appends a dot and its unique part of letters, digits, hyphens and
+// underscores.
 func NewToken(h Home, minted time.Time) string {
 	return strings.Join([]string{
 		h.Entry,
@@ -55,11 +57,11 @@
 	return NewToken(k.Home, k.Minted) + keySeparator + k.Unique
 }
 
-// ParseKey reads the text form of a key. Only the form that String gives is
-// taken; any other text gives an error that wraps ErrBadKey.
+// ParseKey parses the text form of a key. It accepts only the form that String
+// returns; for any other text the error wraps ErrBadKey.
 func ParseKey(text string) (Key, error) {
 	if len(text) > MaxKeyBytes {
-		return Key{}, fmt.Errorf("%w: %d bytes long", ErrBadKey, len(text))
+		return Key{}, fmt.Errorf("%w: %d bytes, limit %d", ErrBadKey, len(text), MaxKeyBytes)
 	}
 	rest, unique := cutLast(text)
 	rest, mintedText := cutLast(rest)
@@ -80,7 +82,8 @@
 	return k, nil
 }
 
-// cutLast splits text at its last separator; without one before is empty.
+// cutLast splits text at its last separator. Without a separator, before is
+// empty and after is the text.
 func cutLast(text string) (before, after string) {
 	i := strings.LastIndex(text, keySeparator)
 	if i < 0 {
@@ -89,11 +92,11 @@
 	return text[:i], text[i+1:]
 }
 
-func validName(name string, dots bool) bool {
+func validName(name string, allowDots bool) bool {
 	for _, c := range []byte(name) {
 		letter := 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z'
 		other := '0' <= c && c <= '9' || c == '-' || c == '_'
-		if letter || other || dots && c == '.' {
+		if letter || other || allowDots && c == '.' {
 			continue
 		}
 		return false
--- a/internal/core/claims/outcome.go
+++ b/internal/core/claims/outcome.go
@@ -10,7 +10,7 @@
 // Fingerprint identifies the content of a request.
 type Fingerprint = fingerprint.Fingerprint
 
-// Kind says what may be done with a once-only request.
+// Kind is the decision on an attempt of a once-only request.
 type Kind uint8
 
 const (
@@ -20,20 +20,20 @@
 	// Start means that the request may be sent to an endpoint now. Exactly one
 	// call of Finish must follow.
 	Start
-	// Wait means that another attempt of the key is under way: its outcome is
+	// Wait means that another attempt of the key is in flight: its outcome is
 	// the answer.
 	Wait
 	// Stored means that an earlier attempt ended; Decision.Outcome is the answer.
 	Stored
 )
 
-// Decision answers Begin.
+// Decision is the result of Begin.
 type Decision struct {
-	// Kind says what may be done.
+	// Kind says whether the attempt may start.
 	Kind Kind
 	// Outcome is the answer for Stored, and verdict and reason for Refuse.
 	Outcome Outcome
-	// Reason is Outcome.Reason for Refuse.
+	// Reason equals Outcome.Reason for Refuse and is empty otherwise.
 	Reason verdict.Reason
 }
 
@@ -41,24 +41,25 @@
 type Outcome struct {
 	// Verdict says whether the request ran.
 	Verdict verdict.Verdict
-	// Reason classes the failure; empty when Verdict is Ran.
+	// Reason classifies the failure; empty when Verdict is Ran.
 	Reason verdict.Reason
 	// Status, Header and Body are the endpoint's answer when Verdict is Ran.
 	Status int
 	Header http.Header
 	Body   []byte
-	// Omitted says that the request ran but its header and body weren't kept,
-	// because they are too large to store. A resend learns that it ran, and no
-	// more; nothing may present the empty body as the answer.
+	// Omitted is set when the request ran but its header and body weren't kept,
+	// because they are too large to store or the table had no room for them. A
+	// resend learns only that the request ran; the empty body must not be
+	// presented as the answer.
 	Omitted bool
 }
 
-// Row is one claim on its way to another entry.
+// Row is one claim as it is handed over to another entry.
 type Row struct {
 	Key         Key
 	Fingerprint Fingerprint
 	Outcome     Outcome
-	// Finished is false for an attempt that was under way; its outcome is
+	// Finished is false for an attempt that was in flight; its outcome is
 	// MayHaveRun.
 	Finished bool
 }
@@ -67,7 +68,7 @@
 	return Decision{Kind: Refuse, Outcome: Outcome{Verdict: v, Reason: reason}, Reason: reason}
 }
 
-// answerBytes estimates the memory of the outcome's header and body.
+// answerBytes estimates the memory of the outcome's header and body, in bytes.
 func answerBytes(o Outcome) int64 {
 	total := int64(len(o.Body))
 	for name, values := range o.Header {
@@ -79,7 +80,7 @@
 	return total
 }
 
-// withoutAnswer drops header and body.
+// withoutAnswer returns the outcome without header and body, marked as Omitted.
 func withoutAnswer(o Outcome) Outcome {
 	o.Header = nil
 	o.Body = nil
--- a/internal/core/claims/schedule_test.go
+++ b/internal/core/claims/schedule_test.go
@@ -21,57 +21,58 @@
 	limits = claims.Config{MaxEntries: 3, MaxBytes: 1 << 20, Retention: 60 * time.Second, FirstUse: 20 * time.Second, ClockSkew: 4 * skew}
 )
 
-// fault is what a schedule does wrong on purpose.
+// fault is a protocol violation that a schedule contains on purpose.
 type fault string
 
 const (
-	none             fault = ""
-	retryAfterLoss   fault = "retry after a lost answer"
-	replayedDispatch fault = "a dispatch that the network doubles"
-	startAnywhere    fault = "an entry that starts keys of another home"
-	sameIncarnation  fault = "a restart with the same incarnation"
-	unsealed         fault = "a hand-over called complete without a seal"
-	notRunElsewhere  fault = "NotRun said by an entry that isn't the home"
-	reuseNotRun      fault = "an attempt that starts again after NotRun"
+	noFault              fault = ""
+	retryAfterLoss       fault = "retry after a lost answer"
+	duplicatedDispatch   fault = "a dispatch that the network duplicates"
+	startAnywhere        fault = "an entry that starts keys of another home"
+	sameIncarnation      fault = "a restart with the same incarnation"
+	unsealed             fault = "a hand-over marked complete without sealing the table"
+	notRunFromOtherEntry fault = "NotRun reported by an entry that isn't the home"
+	reuseNotRun          fault = "an attempt that starts again after NotRun"
 )
 
-// packet is a message on its way.
+// packet is a message in flight.
 type packet struct {
 	deliver func()
-	// doubles says that the network may deliver it again.
-	doubles bool
-	to      *node
+	// mayDuplicate is set when the network may deliver the packet again.
+	mayDuplicate bool
+	to           *node
 }
 
-// node is an entry as a state machine.
+// node simulates an entry.
 type node struct {
 	self   claims.Home
 	table  *claims.Table
 	skew   time.Duration
-	frozen bool
-	// running holds the keys whose attempts are under way.
+	paused bool
+	// running holds the keys whose attempts are in flight, starts those of them
+	// that weren't dispatched yet.
 	running []claims.Key
 	starts  []claims.Key
 }
 
-// filing is a once-only request and what its caller was told.
-type filing struct {
-	key  claims.Key
-	told []verdict.Verdict
-	runs int
+// onceRequest is a once-only request and the verdicts reported to its caller.
+type onceRequest struct {
+	key      claims.Key
+	reported []verdict.Verdict
+	runs     int
 }
 
-type world struct {
-	t       *rapid.T
-	fault   fault
-	now     time.Time
-	nodes   []*node
-	filings []*filing
-	net     []packet
+type simulation struct {
+	t        *rapid.T
+	fault    fault
+	now      time.Time
+	nodes    []*node
+	requests []*onceRequest
+	packets  []packet
 }
 
-func newWorld(t *rapid.T, f fault) *world {
-	w := &world{t: t, fault: f, now: epoch}
+func newSimulation(t *rapid.T, f fault) *simulation {
+	w := &simulation{t: t, fault: f, now: epoch}
 	for i := range 3 {
 		n := &node{self: claims.Home{Entry: fmt.Sprint("e", i)}, skew: time.Duration(i-1) * skew}
 		w.nodes = append(w.nodes, n)
@@ -80,42 +81,42 @@
 	return w
 }
 
-func (w *world) restart(n *node) {
+func (w *simulation) restart(n *node) {
 	if w.fault != sameIncarnation || n.table == nil {
 		n.self.Incarnation++
 	}
 	n.table = claims.NewTable(n.self, limits)
-	n.frozen, n.running, n.starts = false, nil, nil
+	n.paused, n.running, n.starts = false, nil, nil
 }
 
-func (w *world) clock(n *node) time.Time { return w.now.Add(n.skew) }
+func (w *simulation) clock(n *node) time.Time { return w.now.Add(n.skew) }
 
-func (w *world) send(to *node, doubles bool, deliver func()) {
-	w.net = append(w.net, packet{deliver, doubles, to})
+func (w *simulation) send(to *node, mayDuplicate bool, deliver func()) {
+	w.packets = append(w.packets, packet{deliver, mayDuplicate, to})
 }
 
-func pick[T any](w *world, all []T) T {
+func pick[T any](w *simulation, all []T) T {
 	if len(all) == 0 {
 		w.t.Skip("nothing to pick")
 	}
 	return all[rapid.IntRange(0, len(all)-1).Draw(w.t, "pick")]
 }
 
-func (w *world) maybe() bool { return rapid.Bool().Draw(w.t, "maybe") }
+func (w *simulation) maybe() bool { return rapid.Bool().Draw(w.t, "maybe") }
 
-// arrive is a request at an entry.
-func (w *world) arrive(n *node, f *filing) {
+// receive handles a request at an entry.
+func (w *simulation) receive(n *node, f *onceRequest) {
 	if f.key.Home != n.self {
 		home := w.nodes[slices.IndexFunc(w.nodes, func(o *node) bool { return o.self.Entry == f.key.Home.Entry })]
 		switch {
-		case w.fault == notRunElsewhere && w.maybe():
-			w.tell(f, verdict.NotRun)
+		case w.fault == notRunFromOtherEntry && w.maybe():
+			w.report(f, verdict.NotRun)
 			return
 		case w.fault == startAnywhere && w.maybe():
 			w.dispatch(n, n.self, f)
 			return
 		case home.self == f.key.Home && w.maybe():
-			w.send(home, true, func() { w.arrive(home, f) })
+			w.send(home, true, func() { w.receive(home, f) })
 			return
 		}
 	}
@@ -129,18 +130,18 @@
 			w.dispatch(n, n.self, f)
 			return
 		}
-		w.tell(f, d.Outcome.Verdict)
+		w.report(f, d.Outcome.Verdict)
 	}
 }
 
-func (w *world) tell(f *filing, v verdict.Verdict) {
-	w.send(nil, true, func() { f.told = append(f.told, v) })
+func (w *simulation) report(f *onceRequest, v verdict.Verdict) {
+	w.send(nil, true, func() { f.reported = append(f.reported, v) })
 }
 
 // dispatch sends an attempt to an endpoint, which runs it or sheds it.
-func (w *world) dispatch(n *node, from claims.Home, f *filing) {
+func (w *simulation) dispatch(n *node, from claims.Home, f *onceRequest) {
 	shed := w.maybe()
-	w.send(nil, w.fault == replayedDispatch, func() {
+	w.send(nil, w.fault == duplicatedDispatch, func() {
 		v := verdict.NotRun
 		if !shed {
 			f.runs++
@@ -154,79 +155,79 @@
 	})
 }
 
-func (w *world) finish(n *node, f *filing, v verdict.Verdict) {
+func (w *simulation) finish(n *node, f *onceRequest, v verdict.Verdict) {
 	i := slices.Index(n.running, f.key)
 	if i < 0 {
 		return
 	}
 	n.running = slices.Delete(n.running, i, i+1)
 	n.table.Finish(w.clock(n), f.key, claims.Outcome{Verdict: v})
-	w.tell(f, v)
+	w.report(f, v)
 }
 
-func (w *world) filing(k claims.Key) *filing {
-	return w.filings[slices.IndexFunc(w.filings, func(f *filing) bool { return f.key == k })]
+func (w *simulation) findRequest(k claims.Key) *onceRequest {
+	return w.requests[slices.IndexFunc(w.requests, func(f *onceRequest) bool { return f.key == k })]
 }
 
-func (w *world) awake() *node {
-	return pick(w, slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.frozen }))
+func (w *simulation) pickActive() *node {
+	return pick(w, slices.DeleteFunc(slices.Clone(w.nodes), func(n *node) bool { return n.paused }))
 }
 
-// take picks any packet, so that packets overtake each other, and leaves it to
-// be delivered again if it may be doubled.
-func (w *world) take(double bool) packet {
-	if len(w.net) == 0 {
-		w.t.Skip("nothing under way")
+// takePacket picks any packet, so that packets are reordered. With keep set it
+// leaves the packet to be delivered again if it may be duplicated.
+func (w *simulation) takePacket(keep bool) packet {
+	if len(w.packets) == 0 {
+		w.t.Skip("no packet in flight")
 	}
-	i := rapid.IntRange(0, len(w.net)-1).Draw(w.t, "packet")
-	p := w.net[i]
-	if p.to != nil && p.to.frozen {
-		w.t.Skip("frozen")
+	i := rapid.IntRange(0, len(w.packets)-1).Draw(w.t, "packet")
+	p := w.packets[i]
+	if p.to != nil && p.to.paused {
+		w.t.Skip("receiver is paused")
 	}
-	if !double || !p.doubles {
-		w.net = slices.Delete(w.net, i, i+1)
+	if !keep || !p.mayDuplicate {
+		w.packets = slices.Delete(w.packets, i, i+1)
 	}
 	return p
 }
 
-// actions are the steps that a schedule is made of.
-func (w *world) actions() map[string]func(*rapid.T) {
+// actions are the steps of which a schedule consists.
+func (w *simulation) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"": func(t *rapid.T) { w.check(t) },
 		"look up and send": func(*rapid.T) {
-			n := w.awake()
-			key, err := claims.ParseKey(claims.NewToken(n.self, w.clock(n)) + fmt.Sprint(".u", len(w.filings)))
+			n := w.pickActive()
+			key, err := claims.ParseKey(claims.NewToken(n.self, w.clock(n)) + fmt.Sprint(".u", len(w.requests)))
 			if err != nil {
 				w.t.Fatal(err)
 			}
-			f := &filing{key: key}
-			w.filings = append(w.filings, f)
+			f := &onceRequest{key: key}
+			w.requests = append(w.requests, f)
 			to := pick(w, w.nodes)
-			w.send(to, true, func() { w.arrive(to, f) })
+			w.send(to, true, func() { w.receive(to, f) })
 		},
 		"resend": func(*rapid.T) {
-			f, to := pick(w, w.filings), pick(w, w.nodes)
-			w.send(to, true, func() { w.arrive(to, f) })
+			f, to := pick(w, w.requests), pick(w, w.nodes)
+			w.send(to, true, func() { w.receive(to, f) })
 		},
-		"deliver": func(*rapid.T) { w.take(w.maybe()).deliver() },
-		"lose":    func(*rapid.T) { w.take(false) },
+		"deliver": func(*rapid.T) { w.takePacket(w.maybe()).deliver() },
+		"lose":    func(*rapid.T) { w.takePacket(false) },
 		"dispatch": func(*rapid.T) {
-			n := w.awake()
+			n := w.pickActive()
 			k := pick(w, n.starts)
 			n.starts = slices.DeleteFunc(n.starts, func(o claims.Key) bool { return o == k })
 			if slices.Contains(n.running, k) {
-				w.dispatch(n, n.self, w.filing(k))
+				w.dispatch(n, n.self, w.findRequest(k))
 			}
 		},
 		"fail before the dispatch": func(*rapid.T) {
-			n := w.awake()
+			n := w.pickActive()
 			k := pick(w, n.starts)
 			n.starts = slices.DeleteFunc(n.starts, func(o claims.Key) bool { return o == k })
-			w.finish(n, w.filing(k), verdict.NotRun)
+			w.finish(n, w.findRequest(k), verdict.NotRun)
 		},
 		"give up": func(*rapid.T) {
-			n := w.awake()
-			f := w.filing(pick(w, n.running))
+			n := w.pickActive()
+			f := w.findRequest(pick(w, n.running))
 			if w.fault == retryAfterLoss {
 				w.dispatch(n, n.self, f)
 				return
@@ -234,10 +235,10 @@
 			n.starts = slices.DeleteFunc(n.starts, func(o claims.Key) bool { return o == f.key })
 			w.finish(n, f, verdict.MayHaveRun)
 		},
-		"freeze or thaw": func(*rapid.T) { n := pick(w, w.nodes); n.frozen = !n.frozen },
+		"freeze or thaw": func(*rapid.T) { n := pick(w, w.nodes); n.paused = !n.paused },
 		"restart":        func(*rapid.T) { w.restart(pick(w, w.nodes)) },
-		"stop":           func(*rapid.T) { w.stop(w.awake()) },
-		"seal":           func(*rapid.T) { w.awake().table.Seal() },
+		"stop":           func(*rapid.T) { w.stop(w.pickActive()) },
+		"seal":           func(*rapid.T) { w.pickActive().table.Seal() },
 		"pass time": func(*rapid.T) {
 			w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{1, 5, 25, 70}).Draw(w.t, "seconds")) * time.Second)
 		},
@@ -249,9 +250,9 @@
 	}
 }
 
-// stop is a planned stop: the claims go to the other entries, while the entry
-// goes on until it is restarted.
-func (w *world) stop(n *node) {
+// stop is a planned stop: the claims are sent to the other entries, while the
+// entry keeps running until it is restarted.
+func (w *simulation) stop(n *node) {
 	if w.fault != unsealed {
 		n.table.Seal()
 	}
@@ -265,53 +266,55 @@
 	}
 }
 
-func (w *world) check(t *rapid.T) {
-	for _, f := range w.filings {
+func (w *simulation) check(t *rapid.T) {
+	for _, f := range w.requests {
 		if f.runs > 1 {
 			t.Fatalf("%s ran %d times", f.key, f.runs)
 		}
-		if f.runs > 0 && slices.Contains(f.told, verdict.NotRun) {
-			t.Fatalf("%s ran, and its caller was told NotRun", f.key)
+		if f.runs > 0 && slices.Contains(f.reported, verdict.NotRun) {
+			t.Fatalf("%s ran, but NotRun was reported to its caller", f.key)
 		}
-		if f.runs == 0 && slices.Contains(f.told, verdict.Ran) {
-			t.Fatalf("%s did not run, and its caller was told Ran", f.key)
+		if f.runs == 0 && slices.Contains(f.reported, verdict.Ran) {
+			t.Fatalf("%s did not run, but Ran was reported to its caller", f.key)
 		}
 	}
 }
 
 func schedules(f fault) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := newWorld(t, f)
+		w := newSimulation(t, f)
 		t.Repeat(w.actions())
 	}
 }
 
-// verdictOf runs schedules and notes whether they fail.
-type verdictOf struct {
+// failureRecorder runs schedules and records whether they fail.
+type failureRecorder struct {
 	*testing.T
 	failed bool
 }
 
-func (v *verdictOf) Errorf(string, ...any) { v.failed = true }
-func (v *verdictOf) Fatalf(string, ...any) { v.failed = true }
-func (v *verdictOf) Fail()                 { v.failed = true }
-func (v *verdictOf) FailNow()              { v.failed = true }
-func (v *verdictOf) Failed() bool          { return v.failed }
-func (v *verdictOf) Logf(string, ...any)   {}
-func (v *verdictOf) Log(...any)            {}
+func (v *failureRecorder) Errorf(string, ...any) { v.failed = true }
+func (v *failureRecorder) Fatalf(string, ...any) { v.failed = true }
+func (v *failureRecorder) Fail()                 { v.failed = true }
+func (v *failureRecorder) FailNow()              { v.failed = true }
+func (v *failureRecorder) Failed() bool          { return v.failed }
+func (v *failureRecorder) Logf(string, ...any)   {}
+func (v *failureRecorder) Log(...any)            {}
 
 func TestMain(m *testing.M) {
 	testseed.Main(m, testseed.Settings{Seed: 4, Checks: 20_000, Steps: 80})
 }
 
 // TestSchedules runs callers, entries and endpoints through random schedules of
-// loss, doubling, reordering, freezes, restarts, planned stops and clock changes.
-func TestSchedules(t *testing.T) { rapid.Check(t, schedules(none)) }
+// packet loss, duplication, reordering, pauses, restarts, planned stops and
+// clock changes. It guards against a request that runs twice and against a
+// verdict that is untrue.
+func TestSchedules(t *testing.T) { rapid.Check(t, schedules(noFault)) }
 
 func TestSchedulesCatchFaults(t *testing.T) {
-	for _, f := range []fault{retryAfterLoss, replayedDispatch, startAnywhere, sameIncarnation, unsealed, notRunElsewhere, reuseNotRun} {
+	for _, f := range []fault{retryAfterLoss, duplicatedDispatch, startAnywhere, sameIncarnation, unsealed, notRunFromOtherEntry, reuseNotRun} {
 		t.Run(string(f), func(t *testing.T) {
-			v := &verdictOf{T: t}
+			v := &failureRecorder{T: t}
 			rapid.Check(v, schedules(f))
 			is.New(t).True(v.failed)
 		})
--- a/internal/core/claims/table.go
+++ b/internal/core/claims/table.go
@@ -17,44 +17,48 @@
 	// and of each of its values, without their text.
 	headerFieldBytes = 96
 	headerValueBytes = 16
-	// answerShare is the part of MaxBytes that one answer may take, as a
-	// divisor.
-	answerShare = 8
+	// maxAnswerDivisor gives the part of MaxBytes that one answer may take: one
+	// in maxAnswerDivisor.
+	maxAnswerDivisor = 8
 )
 
 // Config bounds a Table.
 type Config struct {
 	// MaxEntries bounds the number of claims.
 	MaxEntries int
-	// MaxBytes bounds the memory of all claims, in bytes as estimated.
+	// MaxBytes bounds the estimated memory of all claims, in bytes.
 	MaxBytes int64
-	// Retention is how long after its minting a key that may have run is kept.
+	// Retention is how long after its minting the claim of a key that may have
+	// run is kept.
 	Retention time.Duration
 	// FirstUse is how long after its minting a key may start; zero means
-	// DefaultFirstUse. It is at most Retention.
+	// DefaultFirstUse. A value above Retention is lowered to it.
 	FirstUse time.Duration
 	// ClockSkew bounds the difference between the clocks of two entries.
 	ClockSkew time.Duration
 }
 
-// Table holds the claims of one home. It isn't safe for concurrent use.
+// Table holds the claims of one home, and claims imported from former homes. It
+// isn't safe for concurrent use.
 type Table struct {
 	self   Home
 	cfg    Config
 	claims map[string]*claim
-	// oldest orders the finished claims; those under way are never evicted.
-	oldest claimHeap
-	bytes  int64
-	// ranFloor is the latest minting time among the evicted claims that may have
-	// run, and notRunFloor among the keys that were called NotRun and have no
-	// claim. Keys minted by then never start, whatever the clock says, so that
-	// setting it back can't bring an evicted key to life.
-	ranFloor    time.Time
-	notRunFloor time.Time
-	// former holds the homes whose claims were imported.
+	// expiryHeap orders the finished claims by expiry; those in flight are
+	// never evicted.
+	expiryHeap claimHeap
+	bytes      int64
+	// mayHaveRunUpTo is the latest minting time among the evicted claims of
+	// this home that may have run. notRunUpTo is the latest among its keys that
+	// were reported NotRun and have no claim. Keys minted up to these times
+	// never start, whatever the clock says, so that an evicted key can't start
+	// after the clock is set back.
+	mayHaveRunUpTo time.Time
+	notRunUpTo     time.Time
+	// former holds the former homes whose claims were imported.
 	former map[Home]formerHome
 	sealed bool
-	// running counts the attempts under way.
+	// running is the number of attempts in flight.
 	running int
 }
 
@@ -65,8 +69,8 @@
 	running     bool
 	outcome     Outcome
 	bytes       int64
-	// expires is when a finished claim may be evicted, and index its place in
-	// the heap.
+	// expires is when a finished claim may be evicted, and index its position
+	// in the heap.
 	expires time.Time
 	index   int
 }
@@ -91,16 +95,17 @@
 // Bytes returns the estimated memory of all claims.
 func (t *Table) Bytes() int64 { return t.bytes }
 
-// Running returns the number of attempts under way.
+// Running returns the number of attempts in flight.
 func (t *Table) Running() int { return t.running }
 
 // Begin decides on an attempt of key k. A refusal as NotRun is final: the key
-// never starts afterwards, though copies of the request may still be under way,
+// never starts afterwards, though copies of the request may still be in flight,
 // and the caller takes a new key to try again.
 //
-// A key that came with another request before is refused as MayHaveRun, unless
-// it was found NotRun: a caller that encodes one filing in two ways sends the
-// same key with two bodies, and to tell it NotRun would have it file again.
+// A key that was used with another request before is refused as MayHaveRun,
+// unless its outcome was NotRun. A caller that encodes one request in two ways
+// sends the same key with two bodies; on NotRun it would send the request again
+// with a new key.
 func (t *Table) Begin(now time.Time, k Key, f Fingerprint) Decision {
 	t.Expire(now)
 	if c, ok := t.claims[k.String()]; ok {
@@ -109,18 +114,18 @@
 	if k.Home != t.self {
 		return t.beginFormer(now, k)
 	}
-	if t.mayBeEvicted(now, k) {
+	if t.mayHaveBeenEvicted(now, k) {
 		return refusal(verdict.MayHaveRun, verdict.ReasonKeyExpired)
 	}
 	if t.sealed {
 		return refusal(verdict.NotRun, verdict.ReasonStopping)
 	}
-	if now.Sub(k.Minted) >= t.cfg.FirstUse || !k.Minted.After(t.notRunFloor) {
-		return t.burn(k, verdict.ReasonKeyExpired)
+	if now.Sub(k.Minted) >= t.cfg.FirstUse || !k.Minted.After(t.notRunUpTo) {
+		return t.refuseNotRun(k, verdict.ReasonKeyExpired)
 	}
 	c := newClaim(k, f)
 	if !t.fits(c.bytes) {
-		return t.burn(k, verdict.ReasonClaimsFull)
+		return t.refuseNotRun(k, verdict.ReasonClaimsFull)
 	}
 	c.running = true
 	t.running++
@@ -128,18 +133,19 @@
 	return Decision{Kind: Start}
 }
 
-// burn refuses a key that has no claim as NotRun, and makes that final.
-func (t *Table) burn(k Key, reason verdict.Reason) Decision {
-	t.notRunFloor = later(t.notRunFloor, k.Minted)
+// refuseNotRun refuses a key that has no claim as NotRun, and makes that final.
+func (t *Table) refuseNotRun(k Key, reason verdict.Reason) Decision {
+	t.notRunUpTo = later(t.notRunUpTo, k.Minted)
 	return refusal(verdict.NotRun, reason)
 }
 
-// mayBeEvicted reports whether a claim of a key that has none may have been
-// evicted, or whether the home can't have minted the key.
-func (t *Table) mayBeEvicted(now time.Time, k Key) bool {
+// mayHaveBeenEvicted reports whether a key without a claim may have had one
+// that was evicted, or can't have been minted by the home because its time is
+// too far in the future.
+func (t *Table) mayHaveBeenEvicted(now time.Time, k Key) bool {
 	tooOld := now.Sub(k.Minted) >= t.cfg.Retention
 	tooNew := k.Minted.Sub(now) > t.cfg.ClockSkew
-	return tooOld || tooNew || !k.Minted.After(t.ranFloor)
+	return tooOld || tooNew || !k.Minted.After(t.mayHaveRunUpTo)
 }
 
 // decide answers an attempt of a key that has a claim.
@@ -157,8 +163,9 @@
 }
 
 // Finish ends the attempt that a Start began and stores its outcome: NotRun
-// until the key may no longer start, any other until Retention is over. The
-// table keeps o.Header and o.Body: the caller must not change them afterwards.
+// until the key may no longer start, any other verdict until Retention is over.
+// The table keeps o.Header and o.Body: the caller must not change them
+// afterwards.
 func (t *Table) Finish(now time.Time, k Key, o Outcome) {
 	c, ok := t.claims[k.String()]
 	if !ok || !c.running {
@@ -170,10 +177,10 @@
 	t.Expire(now)
 }
 
-// store sets the outcome of c, without its answer where that doesn't fit.
+// store sets the outcome of c. It omits header and body when they don't fit.
 func (t *Table) store(c *claim, o Outcome) {
 	size := answerBytes(o)
-	if size > t.cfg.MaxBytes/answerShare || t.bytes+size > t.cfg.MaxBytes {
+	if size > t.cfg.MaxBytes/maxAnswerDivisor || t.bytes+size > t.cfg.MaxBytes {
 		o = withoutAnswer(o)
 		size = 0
 	}
@@ -184,31 +191,31 @@
 	if o.Verdict == verdict.NotRun {
 		c.expires = c.key.Minted.Add(t.cfg.FirstUse)
 	}
-	heap.Push(&t.oldest, c)
+	heap.Push(&t.expiryHeap, c)
 }
 
-// Expire evicts the finished claims whose time is over.
+// Expire evicts the finished claims that have expired.
 func (t *Table) Expire(now time.Time) {
-	for len(t.oldest) > 0 && !now.Before(t.oldest[0].expires) {
-		c := t.oldest[0]
+	for len(t.expiryHeap) > 0 && !now.Before(t.expiryHeap[0].expires) {
+		c := t.expiryHeap[0]
 		t.remove(c)
-		t.raiseFloor(c)
+		t.recordEviction(c)
 	}
 }
 
-// raiseFloor keeps the keys minted up to an evicted one from starting.
-func (t *Table) raiseFloor(c *claim) {
+// recordEviction keeps the keys minted up to the evicted one from starting.
+func (t *Table) recordEviction(c *claim) {
 	former, imported := t.former[c.key.Home]
 	switch {
 	case c.key.Home != t.self && !imported:
-		// Without its home's row the key is MayHaveRun.
+		// Keys of an unknown home are refused as MayHaveRun in any case.
 	case imported:
-		former.floor = later(former.floor, c.key.Minted)
+		former.evictedUpTo = later(former.evictedUpTo, c.key.Minted)
 		t.former[c.key.Home] = former
 	case c.outcome.Verdict == verdict.NotRun:
-		t.notRunFloor = later(t.notRunFloor, c.key.Minted)
+		t.notRunUpTo = later(t.notRunUpTo, c.key.Minted)
 	default:
-		t.ranFloor = later(t.ranFloor, c.key.Minted)
+		t.mayHaveRunUpTo = later(t.mayHaveRunUpTo, c.key.Minted)
 	}
 }
 
@@ -237,6 +244,6 @@
 	delete(t.claims, c.text)
 	t.bytes -= c.bytes
 	if c.index != notQueued {
-		heap.Remove(&t.oldest, c.index)
+		heap.Remove(&t.expiryHeap, c.index)
 	}
 }
--- a/internal/core/claims/table_test.go
+++ b/internal/core/claims/table_test.go
@@ -49,18 +49,20 @@
 	}
 }
 
-// TestBegin does things with a key and looks at what a resend then gets.
+// TestBegin prepares a table and checks what an attempt of a key gets then. It
+// guards against a second start of a key and against a NotRun for a key that
+// may have run.
 func TestBegin(t *testing.T) {
 	type table = *claims.Table
-	k, again := key(t, self, "u"), key(t, self, "v")
-	old := key(t, former, "u")
+	k, otherKey := key(t, self, "u"), key(t, self, "v")
+	formerKey := key(t, former, "u")
 	start := func(t table) { t.Begin(epoch, k, hire) }
 	end := func(o claims.Outcome) func(table) {
 		return func(t table) { start(t); t.Finish(epoch, k, o) }
 	}
 	imported := func(complete bool) func(table) {
 		return func(t table) {
-			t.Import(epoch, former, []claims.Row{{Key: old, Fingerprint: hire, Outcome: ran, Finished: true}}, complete)
+			t.Import(epoch, former, []claims.Row{{Key: formerKey, Fingerprint: hire, Outcome: ran, Finished: true}}, complete)
 		}
 	}
 	fill := func(t table) {
@@ -68,17 +70,17 @@
 			t.Begin(epoch, key(nil, self, fmt.Sprint("f", n)), hire)
 		}
 	}
-	young := keyAt(t, self, limits.FirstUse/2, "u")
+	youngKey := keyAt(t, self, limits.FirstUse/2, "u")
 	const may, not, did = verdict.MayHaveRun, verdict.NotRun, verdict.Ran
 	cases := []struct {
-		name   string
-		before func(table)
-		key    claims.Key
-		print  claims.Fingerprint
-		after  time.Duration
-		kind   claims.Kind
-		want   verdict.Verdict
-		reason verdict.Reason
+		name        string
+		before      func(table)
+		key         claims.Key
+		fingerprint claims.Fingerprint
+		after       time.Duration
+		kind        claims.Kind
+		want        verdict.Verdict
+		reason      verdict.Reason
 	}{
 		{"first", func(table) {}, k, hire, 0, claims.Start, may, ""},
 		{"while it runs", start, k, hire, 0, claims.Wait, may, ""},
@@ -90,9 +92,9 @@
 		{"another body after it did not run", end(shed), k, other, 0, claims.Refuse, not, verdict.ReasonKeyReused},
 		{"late in the retention", end(ran), k, hire, limits.Retention - 1, claims.Stored, did, ""},
 		{"after the retention", end(ran), k, hire, limits.Retention, claims.Refuse, may, verdict.ReasonKeyExpired},
-		{"first, too late", func(table) {}, k, hire, limits.FirstUse, claims.Refuse, not, verdict.ReasonKeyExpired},
-		{"first, long too late", func(table) {}, k, hire, limits.Retention, claims.Refuse, may, verdict.ReasonKeyExpired},
-		{"not run, its claim gone", end(shed), k, hire, limits.FirstUse, claims.Refuse, not, verdict.ReasonKeyExpired},
+		{"first attempt, after FirstUse", func(table) {}, k, hire, limits.FirstUse, claims.Refuse, not, verdict.ReasonKeyExpired},
+		{"first attempt, after the retention", func(table) {}, k, hire, limits.Retention, claims.Refuse, may, verdict.ReasonKeyExpired},
+		{"not run, claim evicted", end(shed), k, hire, limits.FirstUse, claims.Refuse, not, verdict.ReasonKeyExpired},
 		{"not run, clock set back", func(t table) { end(shed)(t); t.Expire(epoch.Add(limits.FirstUse)) }, k, hire, 0, claims.Refuse, not, verdict.ReasonKeyExpired},
 		{"ran, clock set back", func(t table) { end(ran)(t); t.Expire(epoch.Add(limits.Retention)) }, k, hire, 0, claims.Refuse, may, verdict.ReasonKeyExpired},
 		{"minted in the future", func(table) {}, k, hire, -limits.ClockSkew - 1, claims.Refuse, may, verdict.ReasonKeyExpired},
@@ -107,31 +109,31 @@
 		{"refused when full, room in time", func(t table) {
 			fill(t)
 			t.Finish(epoch, key(nil, self, "f0"), shed)
-			t.Begin(epoch.Add(limits.FirstUse/2), young, hire)
-		}, young, hire, limits.FirstUse, claims.Refuse, not, verdict.ReasonKeyExpired},
+			t.Begin(epoch.Add(limits.FirstUse/2), youngKey, hire)
+		}, youngKey, hire, limits.FirstUse, claims.Refuse, not, verdict.ReasonKeyExpired},
 		{"ran, refused another when full", func(t table) {
 			end(ran)(t)
 			fill(t)
-			t.Begin(epoch, again, hire)
+			t.Begin(epoch, otherKey, hire)
 		}, k, hire, 0, claims.Stored, did, ""},
-		{"refused too late, clock set back", func(t table) { t.Begin(epoch.Add(limits.FirstUse), k, hire) }, k, hire, 0, claims.Refuse, not, verdict.ReasonKeyExpired},
+		{"refused after FirstUse, clock set back", func(t table) { t.Begin(epoch.Add(limits.FirstUse), k, hire) }, k, hire, 0, claims.Refuse, not, verdict.ReasonKeyExpired},
 		{"sealed", table.Seal, k, hire, 0, claims.Refuse, not, verdict.ReasonStopping},
 		{"sealed after it ran", func(t table) { end(ran)(t); t.Seal() }, k, hire, 0, claims.Stored, did, ""},
-		{"another key beside it", end(ran), again, hire, 0, claims.Start, may, ""},
-		{"home gone", func(table) {}, old, hire, 0, claims.Refuse, may, verdict.ReasonHomeLost},
-		{"home stopped, row", imported(true), old, hire, 0, claims.Stored, did, ""},
+		{"another key", end(ran), otherKey, hire, 0, claims.Start, may, ""},
+		{"home unknown", func(table) {}, formerKey, hire, 0, claims.Refuse, may, verdict.ReasonHomeLost},
+		{"home stopped, row", imported(true), formerKey, hire, 0, claims.Stored, did, ""},
 		{"home stopped, no row", imported(true), key(t, former, "v"), hire, 0, claims.Refuse, not, verdict.ReasonHomeLost},
 		{"home stopped, no row, near the retention", imported(true), key(t, former, "v"), hire, limits.Retention - limits.ClockSkew, claims.Refuse, may, verdict.ReasonKeyExpired},
 		{"home copied, no row", imported(false), key(t, former, "v"), hire, 0, claims.Refuse, may, verdict.ReasonHomeLost},
-		{"home stopped, row gone, clock set back", func(t table) { imported(true)(t); t.Expire(epoch.Add(limits.Retention)) }, old, hire, 0, claims.Refuse, may, verdict.ReasonKeyExpired},
-		{"home stopped, no room", func(t table) { fill(t); imported(true)(t) }, old, hire, 0, claims.Refuse, may, verdict.ReasonHomeLost},
+		{"home stopped, row evicted, clock set back", func(t table) { imported(true)(t); t.Expire(epoch.Add(limits.Retention)) }, formerKey, hire, 0, claims.Refuse, may, verdict.ReasonKeyExpired},
+		{"home stopped, no room", func(t table) { fill(t); imported(true)(t) }, formerKey, hire, 0, claims.Refuse, may, verdict.ReasonHomeLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			table := claims.NewTable(self, limits)
 			c.before(table)
-			d := table.Begin(epoch.Add(c.after), c.key, c.print)
+			d := table.Begin(epoch.Add(c.after), c.key, c.fingerprint)
 			is.Equal(d.Kind, c.kind)
 			is.Equal(d.Outcome.Verdict, c.want)
 			is.Equal(d.Outcome.Reason, c.reason)
@@ -159,7 +161,9 @@
 	is.Equal(table.Bytes(), int64(0))
 }
 
-// TestBytesPerClaim compares the estimate with what the heap holds.
+// TestBytesPerClaim compares the estimated memory with the growth of the heap.
+// It guards against an estimate that is too low, or twice the real memory or
+// more.
 func TestBytesPerClaim(t *testing.T) {
 	is := is.New(t)
 	const n = 50_000
