--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -1,19 +1,25 @@
 // Package quarantine keeps a request that crashes endpoints from crashing more
 // than two of them.
 //
-// The death of an endpoint blames the requests that were in flight on it, or
-// whose end was lost within Late before. An endpoint that lost a run and shows no
-// life for Blame is taken for dead. Two deaths of distinct incarnations put a
-// fingerprint into quarantine. Between the loss of a run and the news of a death
-// the fingerprint is held back as well: until one run of it was answered, at most
-// two runs may be under way or lost, and after a first death one. A run that was
-// given up, as those of slow endpoints are, holds it back for Blame at most, and
-// no more once its endpoint has answered a request that started well after.
+// The death of an endpoint is attributed to the requests that were in flight on
+// it, or that were lost on it recently. A run is one request on one endpoint
+// incarnation; a run is lost when its outcome is unknown, because it was given
+// up or its connection was reset. An endpoint that lost a run and shows no
+// evidence of liveness for Blame is presumed dead. Two deaths of distinct
+// incarnations put a fingerprint into quarantine.
 //
-// A death counts only while it is not part of a wider failure, in which several
-// endpoints die at about the same time without the fingerprint. A fingerprint
-// that was answered lately is proven: it may run as often as callers like, and
-// endpoints that die together blame it once only.
+// Between the loss of a run and the report of a death the fingerprint is held
+// back as well: until one run of it was answered, at most two runs may be in
+// flight or lost, and after a first death one. A run that was given up, as
+// happens with slow endpoints, counts for Blame at most, and no longer once its
+// endpoint has answered a request that started LivenessMargin or more after. A
+// run whose connection was reset counts for Blame at least, and then until its
+// endpoint shows evidence of liveness or Hold is over.
+//
+// A death counts only while it is not part of a correlated failure, in which
+// several endpoints die at about the same time without the fingerprint. A
+// fingerprint that was answered recently is proven: the number of its runs
+// isn't limited, and endpoints that die together count as one death.
 //
 // A Table isn't safe for concurrent use; its owner guards it.
 package quarantine
--- a/internal/core/quarantine/memory.go
+++ b/internal/core/quarantine/memory.go
@@ -7,110 +7,113 @@
 	"sassafrasreach/internal/core/fingerprint"
 )
 
-// Silent is an endpoint incarnation that lost a run and has shown no life for
-// Blame.
+// Silent identifies an endpoint incarnation that lost a run and has shown no
+// evidence of liveness for Blame.
 type Silent struct {
 	Endpoint string
 	Number   uint64
 }
 
-// Expire forgets what is too old to matter. It is cheap enough to run once a
-// second. The endpoints that it returns are to be taken for dead.
+// Expire removes expired records. It is cheap enough to be called once a
+// second. The endpoints that it returns are to be presumed dead.
 func (t *Table) Expire(now time.Time) []Silent {
 	t.deaths = slices.DeleteFunc(t.deaths, func(d death) bool {
 		return now.Sub(d.at) >= t.cfg.Hold
 	})
-	var silent []Silent
+	var unresponsive []Silent
 	for f, r := range t.records {
 		t.dropOldRuns(now, r)
-		t.forgetIdle(now, f, r)
-		silent = append(silent, t.silent(now, r)...)
+		t.dropIdle(now, f, r)
+		unresponsive = append(unresponsive, t.unresponsive(now, r)...)
 	}
-	t.forgetEndpoints(now)
+	t.expireEndpoints(now)
 	for f, at := range t.proven {
 		if now.Sub(at) >= t.cfg.Proven {
 			delete(t.proven, f)
 		}
 	}
-	return silent
+	return unresponsive
 }
 
-// silent returns the endpoints of the record's runs that are likely dead.
-func (t *Table) silent(now time.Time, r *record) []Silent {
+// unresponsive returns the endpoints of the record's runs that are presumed
+// dead.
+func (t *Table) unresponsive(now time.Time, r *record) []Silent {
 	var all []Silent
 	for _, x := range r.runs {
 		old := !x.lost.IsZero() && now.Sub(x.lost) >= t.cfg.Blame
-		if old && (x.reset || t.fellSilent(now, x.on)) {
+		if old && (x.reset || t.stoppedReporting(now, x.on)) {
 			all = append(all, Silent{Endpoint: x.on.endpoint, Number: x.on.number})
 		}
 	}
 	return all
 }
 
-// fellSilent reports whether an incarnation was heard of, but has neither
-// reported itself nor begun to answer a request for Blame. One that said that it
-// leaves isn't missed.
-func (t *Table) fellSilent(now time.Time, on incarnation) bool {
-	at, ok := t.heard[on]
-	return ok && now.Sub(later(at, t.alive[on])) >= t.cfg.Blame
+// stoppedReporting reports whether an incarnation reported itself before, but
+// since Blame has neither done so again nor been sent a request that it
+// answered. An incarnation that announced that it leaves isn't included.
+func (t *Table) stoppedReporting(now time.Time, on incarnation) bool {
+	at, ok := t.lastReport[on]
+	return ok && now.Sub(later(at, t.answeredRunStart[on])) >= t.cfg.Blame
 }
 
-// forgetEndpoints forgets the signs of life that are too old to matter.
-func (t *Table) forgetEndpoints(now time.Time) {
-	for on, started := range t.alive {
+// expireEndpoints removes the liveness evidence that are older than Hold.
+func (t *Table) expireEndpoints(now time.Time) {
+	for on, started := range t.answeredRunStart {
 		if now.Sub(started) >= t.cfg.Hold {
-			delete(t.alive, on)
+			delete(t.answeredRunStart, on)
 		}
 	}
-	for on, at := range t.heard {
+	for on, at := range t.lastReport {
 		if now.Sub(at) >= t.cfg.Hold {
-			delete(t.heard, on)
+			delete(t.lastReport, on)
 		}
 	}
 }
 
-// dropOldRuns forgets the runs that were lost too long ago for any blame, and
-// the deaths when nobody has asked for Hold.
+// dropOldRuns removes the lost runs to which no death can be attributed any
+// more, and the deaths if the fingerprint wasn't requested for Hold.
 func (t *Table) dropOldRuns(now time.Time, r *record) {
-	r.runs = slices.DeleteFunc(r.runs, func(x run) bool { return t.over(now, x) })
-	if !now.Before(r.until) && now.Sub(r.asked) >= t.cfg.Hold {
+	r.runs = slices.DeleteFunc(r.runs, func(x run) bool { return t.runExpired(now, x) })
+	if !now.Before(r.quarantinedUntil) && now.Sub(r.lastRequested) >= t.cfg.Hold {
 		r.deaths = nil
 	}
 }
 
-// over reports whether a lost run can be blamed no more. One that was given up
-// is forgotten early while there are many.
-func (t *Table) over(now time.Time, x run) bool {
+// runExpired reports whether no death can be attributed to a lost run any more.
+// A run that was given up expires early while there are many records.
+func (t *Table) runExpired(now time.Time, x run) bool {
 	age := now.Sub(x.lost)
 	if x.lost.IsZero() || age < t.cfg.Blame {
 		return false
 	}
 	if x.reset {
-		return t.lives(x) || age >= t.cfg.Hold
+		return t.endpointAlive(x) || age >= t.cfg.Hold
 	}
-	return age >= t.cfg.Late || len(t.records) > t.cfg.MaxEntries/2
+	return age >= t.cfg.AttributionTimeout || len(t.records) > t.cfg.MaxEntries/2
 }
 
-// lives reports whether the run's endpoint showed life Settle or more after the
-// run was lost.
-func (t *Table) lives(x run) bool {
-	return t.livedOn(x) || t.heard[x.on].Sub(x.lost) >= t.cfg.Settle
+// endpointAlive reports whether the run's endpoint showed evidence of liveness
+// LivenessMargin or more after the run was lost.
+func (t *Table) endpointAlive(x run) bool {
+	return t.answeredLaterRun(x) || t.lastReport[x.on].Sub(x.lost) >= t.cfg.LivenessMargin
 }
 
-// livedOn reports whether the run's endpoint answered a request that started
-// Settle or more after the run was lost.
-func (t *Table) livedOn(x run) bool { return t.alive[x.on].Sub(x.lost) >= t.cfg.Settle }
+// answeredLaterRun reports whether the run's endpoint answered a request that
+// started LivenessMargin or more after the run was lost.
+func (t *Table) answeredLaterRun(x run) bool {
+	return t.answeredRunStart[x.on].Sub(x.lost) >= t.cfg.LivenessMargin
+}
 
-// forgetIdle drops a record that says nothing any more.
-func (t *Table) forgetIdle(now time.Time, f fingerprint.Fingerprint, r *record) {
+// dropIdle removes a record that holds no state any more.
+func (t *Table) dropIdle(now time.Time, f fingerprint.Fingerprint, r *record) {
 	idle := len(r.runs) == 0 && len(r.deaths) == 0
-	remembered := now.Before(r.until) || now.Before(r.suspectUntil) || now.Before(r.liftKept)
+	remembered := now.Before(r.quarantinedUntil) || now.Before(r.suspectedUntil) || now.Before(r.liftRememberedUntil)
 	if idle && !remembered {
 		delete(t.records, f)
 	}
 }
 
-// record returns the record of f, a new one if need be.
+// record returns the record of f and adds one if there is none.
 func (t *Table) record(f fingerprint.Fingerprint) *record {
 	r := t.records[f]
 	if r == nil {
@@ -125,9 +128,10 @@
 	return ok && now.Sub(at) < t.cfg.Proven
 }
 
-// prove remembers that f was answered. A full memory forgets any other one,
-// which then is held to two runs until it is answered again.
-func (t *Table) prove(now time.Time, f fingerprint.Fingerprint) {
+// markProven records that f was answered. When MaxEntries fingerprints are
+// proven, it evicts an arbitrary one, which is limited to two runs until it is
+// answered again.
+func (t *Table) markProven(now time.Time, f fingerprint.Fingerprint) {
 	if _, ok := t.proven[f]; !ok && len(t.proven) >= t.cfg.MaxEntries {
 		for other := range t.proven {
 			delete(t.proven, other)
@@ -137,6 +141,6 @@
 	t.proven[f] = now
 }
 
-// Size returns the number of fingerprints that have a record, and of those that
-// are proven.
+// Size returns the number of fingerprints that have a record, and the number of
+// those that are proven.
 func (t *Table) Size() (records, proven int) { return len(t.records), len(t.proven) }
--- a/internal/core/quarantine/schedule_test.go
+++ b/internal/core/quarantine/schedule_test.go
@@ -14,108 +14,111 @@
 )
 
 const (
-	crashWithin  = time.Second
-	noticeWithin = 3 * time.Second
+	crashDelay  = time.Second
+	noticeDelay = 3 * time.Second
 )
 
 func TestMain(m *testing.M) {
 	testseed.Main(m, testseed.Settings{Seed: 4, Checks: 2_000, Steps: 80})
 }
 
-// job is one run of a fingerprint on an endpoint incarnation.
-type job struct {
-	print    fingerprint.Fingerprint
+// testRun is one run of a fingerprint on an endpoint incarnation.
+type testRun struct {
+	fp       fingerprint.Fingerprint
 	endpoint string
 	number   uint64
-	// crash is when the run takes its endpoint down; zero for innocents.
+	// crash is when the run crashes its endpoint; zero for harmless requests.
 	crash time.Time
 	ended bool
 }
 
-// fleet is a set of endpoints, in front of them one table.
-type fleet struct {
+// simulation is a set of endpoints behind one table.
+type simulation struct {
 	*quarantine.Table
 	now     time.Time
 	numbers map[string]uint64
-	jobs    []*job
-	// news holds the deaths that aren't noticed yet, by the time they will be.
-	news   map[time.Time][]*job
-	deaths int
-	other  int
-	hold   time.Duration
-	// asked is when the poison was last asked for; deaths are counted until
-	// nobody has asked for Hold.
-	asked time.Time
+	runs    []*testRun
+	// pendingDeaths holds the deaths that aren't detected yet, by detection
+	// time.
+	pendingDeaths map[time.Time][]*testRun
+	deaths        int
+	otherCrashes  int
+	hold          time.Duration
+	// lastRequested is when the poison was last requested; deaths are counted
+	// until it wasn't requested for Hold.
+	lastRequested time.Time
 }
 
-// step passes time, in which endpoints crash and their deaths get known.
-func (f *fleet) step(d time.Duration) {
+// step advances the time, in which endpoints crash and their deaths are
+// detected.
+func (f *simulation) step(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(100 * time.Millisecond)
-		for _, j := range f.jobs {
+		for _, j := range f.runs {
 			if !j.crash.IsZero() && !f.now.Before(j.crash) && f.numbers[j.endpoint] == j.number {
 				f.deaths++
-				f.die(j.endpoint)
+				f.crashEndpoint(j.endpoint)
 			}
 		}
-		for _, j := range f.news[f.now] {
+		for _, j := range f.pendingDeaths[f.now] {
 			f.Died(f.now, j.endpoint, j.number)
 		}
 	}
 	f.Expire(f.now)
 }
 
-// die ends an endpoint incarnation and resets the runs on it.
-func (f *fleet) die(endpoint string) {
-	for _, j := range f.jobs {
+// crashEndpoint ends an endpoint incarnation and resets the runs on it.
+func (f *simulation) crashEndpoint(endpoint string) {
+	for _, j := range f.runs {
 		if j.endpoint == endpoint && j.number == f.numbers[endpoint] && !j.ended {
 			f.end(j, quarantine.Reset)
 		}
 	}
-	due := f.now.Add(noticeWithin)
-	f.news[due] = append(f.news[due], &job{endpoint: endpoint, number: f.numbers[endpoint]})
+	due := f.now.Add(noticeDelay)
+	f.pendingDeaths[due] = append(f.pendingDeaths[due], &testRun{endpoint: endpoint, number: f.numbers[endpoint]})
 	f.numbers[endpoint]++
 }
 
-func (f *fleet) end(j *job, end quarantine.End) {
+func (f *simulation) end(j *testRun, end quarantine.End) {
 	j.ended = true
-	f.Ended(f.now, j.endpoint, j.number, j.print, end)
+	f.Ended(f.now, j.endpoint, j.number, j.fp, end)
 }
 
-func (f *fleet) ask(print fingerprint.Fingerprint, endpoint string, poisonous bool) {
+func (f *simulation) request(fp fingerprint.Fingerprint, endpoint string, poisonous bool) {
 	if poisonous {
-		if f.now.Sub(f.asked) >= f.hold {
+		if f.now.Sub(f.lastRequested) >= f.hold {
 			f.deaths = 0
 		}
-		f.asked = f.now
+		f.lastRequested = f.now
 	}
-	if f.Started(f.now, endpoint, f.numbers[endpoint], print, "s") != quarantine.Admitted {
+	if f.Started(f.now, endpoint, f.numbers[endpoint], fp, "s") != quarantine.Admitted {
 		return
 	}
-	j := &job{print: print, endpoint: endpoint, number: f.numbers[endpoint]}
+	j := &testRun{fp: fp, endpoint: endpoint, number: f.numbers[endpoint]}
 	if poisonous {
-		j.crash = f.now.Add(crashWithin)
+		j.crash = f.now.Add(crashDelay)
 	}
-	f.jobs = append(f.jobs, j)
+	f.runs = append(f.runs, j)
 }
 
 // TestAtMostTwoDeaths resends a request that crashes each endpoint, among
-// innocent ones, gives runs up, and lets two endpoints die of other causes.
+// harmless ones, gives runs up, and lets two endpoints die of other causes. It
+// guards against a third endpoint that dies of the same request.
 func TestAtMostTwoDeaths(t *testing.T) {
 	cfg := cfg
 	cfg.Hold = 15 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{Table: quarantine.NewTable(cfg), hold: cfg.Hold, now: epoch, numbers: map[string]uint64{}, news: map[time.Time][]*job{}}
+		f := &simulation{Table: quarantine.NewTable(cfg), hold: cfg.Hold, now: epoch, numbers: map[string]uint64{}, pendingDeaths: map[time.Time][]*testRun{}}
 		endpoint := func() string { return fmt.Sprint("w", rapid.IntRange(0, 4).Draw(t, "endpoint")) }
-		open := func() *job {
-			var all []*job
-			for _, j := range f.jobs {
+		open := func() *testRun {
+			var all []*testRun
+			for _, j := range f.runs {
 				if !j.ended {
 					all = append(all, j)
 				}
 			}
 			if len(all) == 0 {
-				t.Skip("idle")
+				t.Skip("no run in flight")
 			}
 			return all[rapid.IntRange(0, len(all)-1).Draw(t, "job")]
 		}
@@ -125,9 +128,9 @@
 					t.Fatalf("%d endpoints died of one request", f.deaths)
 				}
 			},
-			"ask for the poison":       func(*rapid.T) { f.ask(poison, endpoint(), true) },
-			"ask for the poison again": func(*rapid.T) { f.ask(poison, endpoint(), true) },
-			"ask for another":          func(*rapid.T) { f.ask(second, endpoint(), false) },
+			"ask for the poison":       func(*rapid.T) { f.request(poison, endpoint(), true) },
+			"ask for the poison again": func(*rapid.T) { f.request(poison, endpoint(), true) },
+			"ask for another":          func(*rapid.T) { f.request(second, endpoint(), false) },
 			"answer": func(*rapid.T) {
 				if j := open(); j.crash.IsZero() && f.numbers[j.endpoint] == j.number {
 					f.end(j, quarantine.Answered)
@@ -137,18 +140,19 @@
 			"pass":    func(*rapid.T) { f.step(time.Duration(rapid.IntRange(1, 80).Draw(t, "ticks")) * 100 * time.Millisecond) },
 			"pass the quarantine but for a second": func(*rapid.T) {
 				f.step(cfg.Hold - time.Second)
-				f.ask(poison, endpoint(), true)
+				f.request(poison, endpoint(), true)
 			},
 			"another cause": func(*rapid.T) {
-				if f.other++; f.other <= cfg.WiderDeaths-1 {
-					f.die(endpoint())
+				if f.otherCrashes++; f.otherCrashes <= cfg.CorrelatedDeaths-1 {
+					f.crashEndpoint(endpoint())
 				}
 			},
 		})
 	})
 }
 
-// TestMemoryBound starts and loses far more fingerprints than are remembered.
+// TestMemoryBound starts and loses far more fingerprints than may be
+// remembered. It guards against unbounded memory.
 func TestMemoryBound(t *testing.T) {
 	is := is.New(t)
 	small := cfg
@@ -167,24 +171,26 @@
 	is.Equal(records+proven, 0)
 }
 
-// notice is the news of a death.
-type notice struct {
-	at   time.Time
-	tell func()
+// deathNotice is the report of a death to the tables.
+type deathNotice struct {
+	at      time.Time
+	deliver func()
 }
 
-// TestSeveralEntries resends a request that crashes each endpoint through three
-// entries in every order, a little after each loss or after its death is known.
-func TestSeveralEntries(t *testing.T) {
+// TestResendsThroughSeveralEntries resends a request that crashes each endpoint
+// through three entries in every order, shortly after each loss or after its
+// death is known. It guards against a third endpoint that dies because entries
+// don't know of each other's losses.
+func TestResendsThroughSeveralEntries(t *testing.T) {
 	const entries, resends, orders = 3, 6, 729
-	for _, pause := range []time.Duration{crashWithin, noticeWithin + time.Second, cfg.Blame + time.Second} {
+	for _, pause := range []time.Duration{crashDelay, noticeDelay + time.Second, cfg.Blame + time.Second} {
 		for order := range orders {
 			is := is.New(t)
 			tables := make([]*quarantine.Table, entries)
 			for n := range tables {
 				tables[n] = quarantine.NewTable(cfg)
 			}
-			spread := func(now time.Time, from int, c quarantine.Change, hold time.Duration) {
+			sendChange := func(now time.Time, from int, c quarantine.Change, hold time.Duration) {
 				for n, table := range tables {
 					for _, f := range c.Suspected {
 						if n != from {
@@ -197,18 +203,18 @@
 				}
 			}
 			deaths, now := uint64(0), epoch
-			var news []notice
+			var notices []deathNotice
 			for n, rest := 0, order; n < resends; n, rest = n+1, rest/entries {
 				from := rest % entries
-				for len(news) > 0 && !now.Before(news[0].at) {
-					news[0].tell()
-					news = news[1:]
+				for len(notices) > 0 && !now.Before(notices[0].at) {
+					notices[0].deliver()
+					notices = notices[1:]
 				}
 				if tables[from].Started(now, "w", deaths, poison, "s") == quarantine.Admitted {
-					spread(now, from, tables[from].Ended(now, "w", deaths, poison, quarantine.Reset), cfg.Blame)
-					number, noticed := deaths, now.Add(noticeWithin)
-					news = append(news, notice{noticed, func() {
-						spread(noticed, from, tables[from].Died(noticed, "w", number), cfg.Hold)
+					sendChange(now, from, tables[from].Ended(now, "w", deaths, poison, quarantine.Reset), cfg.Blame)
+					number, noticed := deaths, now.Add(noticeDelay)
+					notices = append(notices, deathNotice{noticed, func() {
+						sendChange(noticed, from, tables[from].Died(noticed, "w", number), cfg.Hold)
 					}})
 					deaths++
 				}
@@ -219,14 +225,15 @@
 	}
 }
 
-// TestFirstRunsAtOnce asks several entries for a request that crashes each
-// endpoint, at the same moment and more often than they let run. Each lets two
-// run, which no one can know to be too many; after the news none runs.
-func TestFirstRunsAtOnce(t *testing.T) {
+// TestConcurrentFirstRuns sends several entries a request that crashes each
+// endpoint, at the same moment and more often than they admit. Each entry
+// admits two runs, because none can know of the others' runs; after the deaths
+// are reported none is admitted.
+func TestConcurrentFirstRuns(t *testing.T) {
 	for _, entries := range []int{1, 2, 3} {
 		is := is.New(t)
 		runs := 0
-		var told []quarantine.Change
+		var changes []quarantine.Change
 		tables := make([]*quarantine.Table, entries)
 		for n := range tables {
 			tables[n] = quarantine.NewTable(cfg)
@@ -240,10 +247,10 @@
 		for n, table := range tables {
 			for k := range 2 {
 				table.Ended(epoch, fmt.Sprint("w", n, k), 1, poison, quarantine.Reset)
-				told = append(told, table.Died(epoch, fmt.Sprint("w", n, k), 1))
+				changes = append(changes, table.Died(epoch, fmt.Sprint("w", n, k), 1))
 			}
 		}
-		for _, change := range told {
+		for _, change := range changes {
 			for _, f := range change.Quarantined {
 				for _, table := range tables {
 					table.Add(epoch, f, cfg.Hold)
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -8,57 +8,60 @@
 )
 
 // maxDeaths is the number of endpoint incarnations that one fingerprint may
-// take down.
+// crash.
 const maxDeaths = 2
 
-// Table remembers runs, deaths and blame. It isn't safe for concurrent use.
+// Table records runs, deaths and the fingerprints to which they are attributed.
+// It isn't safe for concurrent use.
 type Table struct {
 	cfg     Config
 	records map[fingerprint.Fingerprint]*record
 	proven  map[fingerprint.Fingerprint]time.Time
-	// alive holds the latest start of an answered run by endpoint incarnation.
-	alive map[incarnation]time.Time
-	// heard holds when an incarnation last said something of itself.
-	heard  map[incarnation]time.Time
-	deaths []death
+	// answeredRunStart holds the latest start of an answered run by endpoint
+	// incarnation.
+	answeredRunStart map[incarnation]time.Time
+	// lastReport holds when an endpoint incarnation last reported itself.
+	lastReport map[incarnation]time.Time
+	deaths     []death
 }
 
 // NewTable returns an empty table.
 func NewTable(cfg Config) *Table {
 	return &Table{
-		cfg:     cfg,
-		records: make(map[fingerprint.Fingerprint]*record),
-		proven:  make(map[fingerprint.Fingerprint]time.Time),
-		alive:   make(map[incarnation]time.Time),
-		heard:   make(map[incarnation]time.Time),
+		cfg:              cfg,
+		records:          make(map[fingerprint.Fingerprint]*record),
+		proven:           make(map[fingerprint.Fingerprint]time.Time),
+		answeredRunStart: make(map[incarnation]time.Time),
+		lastReport:       make(map[incarnation]time.Time),
 	}
 }
 
-// Check reports whether f is in quarantine and for how long it still would be.
-// Each call with a positive result lengthens the quarantine to Hold: it lasts
-// while callers go on asking.
+// Check reports whether f is in quarantine, and the time that is left of it.
+// Each call with a positive result extends the quarantine to Hold from now, so
+// that it lasts while callers keep sending the request.
 func (t *Table) Check(now time.Time, f fingerprint.Fingerprint) (remaining time.Duration, quarantined bool) {
 	r := t.records[f]
-	if r == nil || !now.Before(r.until) {
+	if r == nil || !now.Before(r.quarantinedUntil) {
 		return 0, false
 	}
-	remaining = r.until.Sub(now)
-	r.until = later(r.until, now.Add(t.cfg.Hold))
-	r.asked = now
+	remaining = r.quarantinedUntil.Sub(now)
+	r.quarantinedUntil = later(r.quarantinedUntil, now.Add(t.cfg.Hold))
+	r.lastRequested = now
 	return remaining, true
 }
 
-// Started asks for a run of f on an endpoint and records it when admitted. Like
-// Check it lengthens the memory of f's deaths.
+// Started decides whether a run of f on an endpoint may start, and records it
+// if admitted. Like Check, it extends the time for which the deaths of f are
+// remembered, except while f is refused because another entry suspects it.
 func (t *Table) Started(now time.Time, endpoint string, number uint64, f fingerprint.Fingerprint, service string) Admission {
-	if _, quarantined := t.Check(now, f); quarantined || t.held(now, f) {
+	if _, quarantined := t.Check(now, f); quarantined || t.suspectedByPeer(now, f) {
 		return Refused
 	}
 	r := t.record(f)
 	t.dropOldRuns(now, r)
-	r.asked = now
+	r.lastRequested = now
 	if !t.isProven(now, f) || len(r.deaths) > 0 {
-		if a := r.admission(t.countDeaths(f, r) + t.harmful(now, r)); a != Admitted {
+		if a := r.admission(t.countDeaths(f, r) + t.unresolvedRuns(now, r)); a != Admitted {
 			return a
 		}
 	}
@@ -67,20 +70,21 @@
 	return Admitted
 }
 
-// held reports whether another entry's suspicion keeps f from starting here.
-func (t *Table) held(now time.Time, f fingerprint.Fingerprint) bool {
+// suspectedByPeer reports whether another entry's suspicion keeps f from
+// starting here.
+func (t *Table) suspectedByPeer(now time.Time, f fingerprint.Fingerprint) bool {
 	r := t.records[f]
-	return r != nil && now.Before(r.suspectUntil) && !t.isProven(now, f)
+	return r != nil && now.Before(r.suspectedUntil) && !t.isProven(now, f)
 }
 
-// harmful returns the runs that may yet turn out to end their endpoint: those
-// under way, and those lost on an endpoint that hasn't shown since that it lives.
-// One that was given up counts for Blame at most.
-func (t *Table) harmful(now time.Time, r *record) int {
+// unresolvedRuns returns the number of runs that may still crash their
+// endpoint: those in flight, and those lost on an endpoint that has shown no
+// evidence of liveness since. A run that was given up counts for Blame at most.
+func (t *Table) unresolvedRuns(now time.Time, r *record) int {
 	n := 0
 	for _, x := range r.runs {
 		givenUp := !x.lost.IsZero() && !x.reset
-		if givenUp && (t.livedOn(x) || now.Sub(x.lost) >= t.cfg.Blame) {
+		if givenUp && (t.answeredLaterRun(x) || now.Sub(x.lost) >= t.cfg.Blame) {
 			continue
 		}
 		n++
@@ -88,18 +92,19 @@
 	return n
 }
 
-// admission decides from the number of deaths, those that may come included.
+// admission decides from the number of deaths, including those that may still
+// follow.
 func (r *record) admission(deaths int) Admission {
 	if deaths < maxDeaths {
 		return Admitted
 	}
-	if r.underWay() > 0 {
+	if r.inFlight() > 0 {
 		return Wait
 	}
 	return Refused
 }
 
-func (r *record) underWay() int {
+func (r *record) inFlight() int {
 	n := 0
 	for _, x := range r.runs {
 		if x.lost.IsZero() {
@@ -109,8 +114,9 @@
 	return n
 }
 
-// Ended records the end of an admitted run. An answer clears f of all blame
-// that is no quarantine yet.
+// Ended records the end of an admitted run. An answer clears all suspicion of f
+// unless f is in quarantine. While more than MaxEntries fingerprints have a
+// record, a lost run isn't remembered.
 func (t *Table) Ended(now time.Time, endpoint string, number uint64, f fingerprint.Fingerprint, end End) Change {
 	r := t.records[f]
 	on := incarnation{endpoint, number}
@@ -124,90 +130,92 @@
 	if (end == Lost || end == Reset) && len(t.records) <= t.cfg.MaxEntries {
 		r.runs[i].lost = now
 		r.runs[i].reset = end == Reset
-		return t.suspected(now, f, end)
+		return t.suspectChange(now, f, end)
 	}
 	started := r.runs[i].started
 	r.runs = slices.Delete(r.runs, i, i+1)
 	var c Change
 	if end == Answered {
-		t.alive[on] = later(t.alive[on], started)
-		c = t.answered(now, f, r)
+		t.answeredRunStart[on] = later(t.answeredRunStart[on], started)
+		c = t.clearSuspicion(now, f, r)
 	}
-	t.forgetIdle(now, f, r)
+	t.dropIdle(now, f, r)
 	return c
 }
 
-// Heard notes that an endpoint incarnation said something of itself just now.
+// Heard records that an endpoint incarnation reported itself just now.
 func (t *Table) Heard(now time.Time, endpoint string, number uint64) {
-	t.heard[incarnation{endpoint, number}] = now
+	t.lastReport[incarnation{endpoint, number}] = now
 }
 
-// Left notes that an endpoint incarnation leaves: its silence is no death.
+// Left records that an endpoint incarnation leaves; missing reports don't mean
+// that it died.
 func (t *Table) Left(endpoint string, number uint64) {
-	delete(t.heard, incarnation{endpoint, number})
+	delete(t.lastReport, incarnation{endpoint, number})
 }
 
-// suspected tells the other entries of a reset; fingerprints that are only
-// given up are too many under overload.
-func (t *Table) suspected(now time.Time, f fingerprint.Fingerprint, end End) Change {
+// suspectChange returns the change for the other entries after a run was lost.
+// Only resets are reported: under overload too many runs are given up.
+func (t *Table) suspectChange(now time.Time, f fingerprint.Fingerprint, end End) Change {
 	if end != Reset || t.isProven(now, f) {
 		return Change{}
 	}
 	return Change{Suspected: []fingerprint.Fingerprint{f}}
 }
 
-// answered takes the blame from f, unless it is in quarantine already.
-func (t *Table) answered(now time.Time, f fingerprint.Fingerprint, r *record) Change {
-	if now.Before(r.until) {
+// clearSuspicion removes all suspicion of f, unless f is in quarantine already.
+func (t *Table) clearSuspicion(now time.Time, f fingerprint.Fingerprint, r *record) Change {
+	if now.Before(r.quarantinedUntil) {
 		return Change{}
 	}
-	t.prove(now, f)
+	t.markProven(now, f)
 	reset := slices.ContainsFunc(r.runs, func(x run) bool { return x.reset })
 	r.runs = slices.DeleteFunc(r.runs, func(x run) bool { return !x.lost.IsZero() })
 	suspected := len(r.deaths) > 0 || reset
 	r.deaths = nil
-	r.countFrom = time.Time{}
+	r.countRunsAfter = time.Time{}
 	if suspected {
 		return Change{Lifted: []fingerprint.Fingerprint{f}}
 	}
 	return Change{}
 }
 
-// Add puts f into quarantine for d, as another entry or an operator asks.
+// Add puts f into quarantine for d, on behalf of another entry or an operator.
 func (t *Table) Add(now time.Time, f fingerprint.Fingerprint, d time.Duration) {
 	r := t.record(f)
-	r.until = later(r.until, now.Add(d))
-	r.spread = true
+	r.quarantinedUntil = later(r.quarantinedUntil, now.Add(d))
+	r.external = true
 	delete(t.proven, f)
 }
 
-// Suspect holds f back for d because an endpoint died with it at another entry,
-// which alone may try it again. A fingerprint that is proven here isn't held.
+// Suspect holds f back for d because an endpoint died or its connection broke
+// during a run from another entry; only that entry may try f again. A
+// fingerprint that is proven here isn't held back.
 func (t *Table) Suspect(now time.Time, f fingerprint.Fingerprint, d time.Duration) {
 	r := t.record(f)
-	r.suspectUntil = later(r.suspectUntil, now.Add(d))
+	r.suspectedUntil = later(r.suspectedUntil, now.Add(d))
 }
 
-// Lift takes f out of quarantine and forgets all blame.
+// Lift ends the quarantine of f and removes its deaths and lost runs.
 func (t *Table) Lift(f fingerprint.Fingerprint) {
 	r := t.records[f]
 	if r == nil {
 		return
 	}
-	r.until = time.Time{}
-	r.suspectUntil = time.Time{}
-	r.spread = false
+	r.quarantinedUntil = time.Time{}
+	r.suspectedUntil = time.Time{}
+	r.external = false
 	r.deaths = nil
-	r.countFrom = time.Time{}
+	r.countRunsAfter = time.Time{}
 	r.runs = slices.DeleteFunc(r.runs, func(x run) bool { return !x.lost.IsZero() })
 }
 
-// List returns the fingerprints in quarantine, in the order of their bytes.
+// List returns the fingerprints in quarantine, sorted by their bytes.
 func (t *Table) List(now time.Time) []Entry {
 	var all []Entry
 	for f, r := range t.records {
-		if now.Before(r.until) {
-			all = append(all, Entry{Fingerprint: f, Service: r.service, Remaining: r.until.Sub(now), Version: r.changed})
+		if now.Before(r.quarantinedUntil) {
+			all = append(all, Entry{Fingerprint: f, Service: r.service, Remaining: r.quarantinedUntil.Sub(now), Version: r.changed})
 		}
 	}
 	slices.SortFunc(all, func(a, b Entry) int {
--- a/internal/core/quarantine/types.go
+++ b/internal/core/quarantine/types.go
@@ -6,53 +6,59 @@
 	"sassafrasreach/internal/core/fingerprint"
 )
 
-// Config sets the times and bounds of a Table.
+// Config holds the times and bounds of a Table.
 type Config struct {
-	// Hold is how long after it was last asked for a fingerprint stays in
-	// quarantine, and its deaths are remembered.
+	// Hold is how long a fingerprint stays in quarantine and its deaths are
+	// remembered, counted from when it was last requested.
 	Hold time.Duration
-	// Blame is how long a lost run holds its fingerprint back. It must be longer
-	// than it takes to notice that an endpoint is gone.
+	// Blame is how long a run that was given up holds its fingerprint back; one
+	// whose connection was reset does so for at least as long. It is also how
+	// long an endpoint that lost a run must show no evidence of liveness to be
+	// presumed dead. It must be longer than the detection of a dead endpoint
+	// takes.
 	Blame time.Duration
-	// Late is how long after a run was given up a death is blamed on it.
-	Late time.Duration
-	// Settle is how long after a run was given up its endpoint must have started
-	// another request, and answered it, to show that the run did not harm it.
-	Settle time.Duration
-	// Proven is how long after an answer a fingerprint counts as harmless.
+	// AttributionTimeout is how long after a run was given up a death can be
+	// attributed to it.
+	AttributionTimeout time.Duration
+	// LivenessMargin is how long after a run was lost its endpoint must have
+	// started another request that it answered, or have reported itself, to
+	// show that the run did not crash it.
+	LivenessMargin time.Duration
+	// Proven is how long after an answer a fingerprint counts as proven.
 	Proven time.Duration
-	// Window is the time in which deaths belong to one wider failure.
-	Window time.Duration
-	// WiderDeaths is the number of deaths without the fingerprint, within
-	// Window, that make a failure a wider one.
-	WiderDeaths int
-	// MaxEntries bounds the fingerprints that are remembered as suspects, and
-	// likewise those remembered as proven.
+	// CorrelationWindow is the time within which deaths belong to one
+	// correlated failure.
+	CorrelationWindow time.Duration
+	// CorrelatedDeaths is the number of deaths without the fingerprint, within
+	// CorrelationWindow, that make a failure a correlated one.
+	CorrelatedDeaths int
+	// MaxEntries bounds the fingerprints that have a record, and likewise those
+	// that are remembered as proven.
 	MaxEntries int
 }
 
-// DefaultConfig returns the settings that entries use.
+// DefaultConfig returns the configuration that entries use.
 func DefaultConfig() Config {
 	return Config{
-		Hold:        5 * time.Minute,
-		Blame:       5 * time.Second,
-		Late:        time.Minute,
-		Settle:      time.Second,
-		Proven:      time.Minute,
-		Window:      2 * time.Second,
-		WiderDeaths: 3,
-		MaxEntries:  10_000,
+		Hold:               5 * time.Minute,
+		Blame:              5 * time.Second,
+		AttributionTimeout: time.Minute,
+		LivenessMargin:     time.Second,
+		Proven:             time.Minute,
+		CorrelationWindow:  2 * time.Second,
+		CorrelatedDeaths:   3,
+		MaxEntries:         10_000,
 	}
 }
 
-// End says how a run ended.
+// End is how a run ended.
 type End uint8
 
 const (
-	// Lost means that the run was given up, and nobody knows how it ended. It is
+	// Lost means that the run was given up, so its outcome is unknown. It is
 	// the zero value.
 	Lost End = iota
-	// Reset means that the endpoint's side of the connection broke.
+	// Reset means that the connection broke on the endpoint's side.
 	Reset
 	// Answered means that the endpoint answered.
 	Answered
@@ -60,49 +66,52 @@
 	NotStarted
 )
 
-// Admission says whether a run may start.
+// Admission is the decision on whether a run may start.
 type Admission uint8
 
 const (
 	// Refused means that the fingerprint is in quarantine or held back. It is
 	// the zero value.
 	Refused Admission = iota
-	// Wait means that as many runs are under way as may be; when one ends the
-	// request may be tried again.
+	// Wait means that the maximum number of runs is in flight; when one of them
+	// ends, the request may be tried again.
 	Wait
-	// Admitted means that the run has started and must be ended by Ended.
+	// Admitted means that the run has started; its end must be recorded by
+	// Ended.
 	Admitted
 )
 
-// Change lists the fingerprints whose state changed and must be spread to the
-// other entries.
+// Change lists the fingerprints whose state changed, to be sent to the other
+// entries.
 type Change struct {
-	// Suspected had their connection reset, or have their first death. Other
-	// entries hold them back: for Blame after a reset and for Hold after a death.
-	// They must know before the caller does, or its resend may reach an entry
-	// that doesn't.
+	// Suspected are the fingerprints whose connection was reset or that have
+	// their first death. Other entries are to hold them back by Suspect. They
+	// must receive the change before the caller receives its answer, or a
+	// resend may reach an entry that doesn't know.
 	Suspected []fingerprint.Fingerprint
-	// Quarantined went into quarantine.
+	// Quarantined are the fingerprints that were put into quarantine.
 	Quarantined []fingerprint.Fingerprint
-	// Lifted are free of blame again.
+	// Lifted are the fingerprints that are no longer suspected or in
+	// quarantine.
 	Lifted []fingerprint.Fingerprint
 }
 
-// Entry is one fingerprint in quarantine.
+// Entry is one fingerprint in quarantine or held back.
 type Entry struct {
 	Fingerprint fingerprint.Fingerprint
-	// Service is the service that was asked for; empty when another entry
+	// Service is the service that was requested; empty when another entry
 	// reported the fingerprint.
 	Service string
-	// Remaining is how long the quarantine lasts, counted from the listing.
+	// Remaining is how long the quarantine or the holding back lasts, counted
+	// from the listing.
 	Remaining time.Duration
-	// Suspected says that the fingerprint is no more than held back.
+	// Suspected is set when the fingerprint is held back but not in quarantine.
 	Suspected bool
-	// Version is that of the newest change.
+	// Version is the version of the newest change that isn't a lift.
 	Version uint64
 }
 
-// incarnation is one life of an endpoint.
+// incarnation identifies one incarnation of an endpoint.
 type incarnation struct {
 	endpoint string
 	number   uint64
@@ -112,39 +121,41 @@
 type run struct {
 	on      incarnation
 	started time.Time
-	// lost is when the run's end was lost; zero while it is under way. reset says
-	// that the connection broke.
+	// lost is when the run was given up or its connection was reset; zero while
+	// it is in flight. reset is set if the connection was reset.
 	lost  time.Time
 	reset bool
 }
 
-// blame is a death that happened with the fingerprint in flight.
-type blame struct {
+// attributedDeath is a death that is attributed to the fingerprint.
+type attributedDeath struct {
 	on incarnation
 	at time.Time
 }
 
-// record is what is known of one fingerprint that isn't idle.
+// record is the state of one fingerprint.
 type record struct {
 	service string
 	runs    []run
-	deaths  []blame
-	// countFrom is the time after which runs must have started to be blamed;
-	// zero means any.
-	countFrom time.Time
-	// asked is when the fingerprint was last asked for, or blamed.
-	asked time.Time
-	// until is the end of the quarantine; spread says that another entry asked
-	// for it, and suspectUntil the end of the hold for another entry's suspect.
-	until        time.Time
-	spread       bool
-	suspectUntil time.Time
-	order
+	deaths  []attributedDeath
+	// countRunsAfter is the time after which runs must have started to have a
+	// death attributed to them; zero means any time.
+	countRunsAfter time.Time
+	// lastRequested is when the fingerprint was last requested, or last had a
+	// death attributed to it.
+	lastRequested time.Time
+	// quarantinedUntil is the end of the quarantine; external is set when
+	// another entry or an operator put the fingerprint there. Until
+	// suspectedUntil it is held back because another entry suspects it.
+	quarantinedUntil time.Time
+	external         bool
+	suspectedUntil   time.Time
+	changeVersions
 }
 
-// death is one endpoint incarnation that died.
+// death is the death of one endpoint incarnation.
 type death struct {
-	on     incarnation
-	at     time.Time
-	blamed []fingerprint.Fingerprint
+	on           incarnation
+	at           time.Time
+	attributedTo []fingerprint.Fingerprint
 }
