--- a/internal/core/budget/link_test.go
+++ b/internal/core/budget/link_test.go
@@ -48,13 +48,13 @@
 		for range rapid.IntRange(10, 60).Draw(rt, "steps") {
 			bytes := rapid.SampledFrom([]int64{1000, 40_000, 100_000, 250_000}).Draw(rt, "bytes")
 			ms := rapid.SampledFrom([]int{0, 1, 10, 300, 700, 1000, 1500}).Draw(rt, "ms")
-			switch rapid.SampledFrom([]string{"take", "take", "flow", "settle", "wait"}).Draw(rt, "step") {
+			switch rapid.SampledFrom([]string{"take", "take", "transfer", "settle", "wait"}).Draw(rt, "step") {
 			case "take":
 				c := budget.Charge{Link: &budget.LinkID{From: "west", To: "east"}, Bytes: bytes}
 				if hold := l.Admit(now, c); hold != nil {
 					requests = append(requests, &linkRequest{hold: hold, bytes: bytes})
 				}
-			case "flow":
+			case "transfer":
 				for _, r := range requests {
 					transferBytes(r, min(bytes, r.bytes-r.sent))
 				}
--- a/internal/core/budget/property_test.go
+++ b/internal/core/budget/property_test.go
@@ -284,24 +284,24 @@
 func (w *simulation) step() {
 	i := rapid.IntRange(0, len(w.nodes)-1).Draw(w.rt, "entry")
 	switch rapid.SampledFrom([]string{
-		"burst", "burst", "burst", "trickle", "ask", "ask", "deliver", "deliver", "deliver", "deliver", "repeat",
-		"lose", "wait", "wait", "wait", "restart", "change", "adopt", "tell", "settle",
+		"burst", "burst", "burst", "trickle", "request loans", "request loans", "deliver", "deliver", "deliver", "deliver", "deliver twice",
+		"drop messages", "wait", "wait", "wait", "restart", "change document", "adopt document", "send version", "converge",
 	}).Draw(w.rt, "step") {
 	case "burst":
 		w.burst(i, 100)
 	case "trickle":
 		w.burst(i, rapid.IntRange(1, 12).Draw(w.rt, "requests"))
-	case "ask":
+	case "request loans":
 		w.sendLoanRequests(i)
 	case "deliver":
 		for range min(3, len(w.messages)) {
 			w.deliver(rapid.IntRange(0, len(w.messages)-1).Draw(w.rt, "mail"), false)
 		}
-	case "repeat":
+	case "deliver twice":
 		if len(w.messages) > 0 {
 			w.deliver(len(w.messages)-1, true)
 		}
-	case "lose":
+	case "drop messages":
 		w.messages = nil
 	case "wait":
 		ms := rapid.SampledFrom([]int{1, 10, 50, 200, 500, 800, 1000, 2900, 5000}).Draw(w.rt, "ms")
@@ -309,13 +309,13 @@
 	case "restart":
 		w.restart(i)
 		w.adopt(i)
-	case "change":
+	case "change document":
 		w.change()
-	case "adopt":
+	case "adopt document":
 		w.adopt(i)
-	case "tell":
+	case "send version":
 		w.sendVersion(i)
-	case "settle":
+	case "converge":
 		w.convergeFor(rapid.IntRange(1, 8).Draw(w.rt, "seconds"))
 	}
 }
--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -5,7 +5,8 @@
 // it, or that were lost on it recently. A run is one request on one endpoint
 // incarnation; a run is lost when its outcome is unknown, because it was given
 // up or its connection was reset. An endpoint that lost a run and shows no
-// evidence of liveness for Blame is presumed dead. Two deaths of distinct
+// evidence of liveness for Blame is presumed dead; after a run that was given
+// up, only if the endpoint had reported itself before. Two deaths of distinct
 // incarnations put a fingerprint into quarantine.
 //
 // Between the loss of a run and the report of a death the fingerprint is held
--- a/internal/core/quarantine/memory.go
+++ b/internal/core/quarantine/memory.go
@@ -7,8 +7,9 @@
 	"sassafrasreach/internal/core/fingerprint"
 )
 
-// Silent identifies an endpoint incarnation that lost a run and has shown no
-// evidence of liveness for Blame.
+// Silent identifies an endpoint incarnation that lost a run and is presumed
+// dead: for Blame it has shown no evidence of liveness, that is, no report and
+// no answer.
 type Silent struct {
 	Endpoint string
 	Number   uint64
@@ -49,14 +50,14 @@
 }
 
 // stoppedReporting reports whether an incarnation reported itself before, but
-// since Blame has neither done so again nor been sent a request that it
-// answered. An incarnation that announced that it leaves isn't included.
+// for Blame has neither done so again nor been sent a request that it answered.
+// An incarnation that announced that it leaves isn't included.
 func (t *Table) stoppedReporting(now time.Time, on incarnation) bool {
 	at, ok := t.lastReport[on]
 	return ok && now.Sub(later(at, t.answeredRunStart[on])) >= t.cfg.Blame
 }
 
-// expireEndpoints removes the liveness evidence that are older than Hold.
+// expireEndpoints removes the reports and answers that are older than Hold.
 func (t *Table) expireEndpoints(now time.Time) {
 	for on, started := range t.answeredRunStart {
 		if now.Sub(started) >= t.cfg.Hold {
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -132,7 +132,7 @@
 			b.Heard(b.now, "w1", 1)
 			b.advance(cfg.Blame)
 		}, ok},
-		{"two resets, no sign of life", func(b B) {
+		{"two resets, no report or answer", func(b B) {
 			giveUp(b, quarantine.Reset, 0)
 			b.Heard(b.now, "w1", 1)
 			b.advance(cfg.Blame)
