--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -27,6 +27,9 @@
 	}
 }
 
+// TestStaticShareInAnyWindow sends one request per millisecond to one of two
+// entries. It guards against an entry that admits more than its share of 50 in
+// any window of one second, or anything right after its start.
 func TestStaticShareInAnyWindow(t *testing.T) {
 	is := is.New(t)
 	l := budget.NewLedger(budget.Owner{Entry: "e1", Incarnation: 1}, budget.Config{}, epoch)
--- a/internal/core/budget/link_test.go
+++ b/internal/core/budget/link_test.go
@@ -70,6 +70,9 @@
 	})
 }
 
+// TestChargeIsAllOrNothing guards against a charge that is admitted although
+// its link or one of its rules has no room, and against a refused charge that
+// still reserves units.
 func TestChargeIsAllOrNothing(t *testing.T) {
 	is := is.New(t)
 	l, _, now := startedLedgers()
@@ -85,6 +88,8 @@
 	is.True(l.Admit(now, budget.Charge{Link: &budget.LinkID{From: "x", To: "y"}, Bytes: 1 << 40}) != nil)
 }
 
+// TestAnswersUseTheLinkInTheirDirection guards against answer bytes that are
+// counted on the link of the request, and request bytes that are not.
 func TestAnswersUseTheLinkInTheirDirection(t *testing.T) {
 	is := is.New(t)
 	doc := twoEntries(100)
@@ -105,6 +110,8 @@
 	is.True(l.Admit(now, budget.Charge{Link: c.Link, Bytes: 248_000}) != nil)
 }
 
+// TestShareRampsUpAfterIdleTime guards against a rule that admits its whole
+// share at once after a time without demand.
 func TestShareRampsUpAfterIdleTime(t *testing.T) {
 	is := is.New(t)
 	doc := twoEntries(100)
--- a/internal/core/budget/loans_test.go
+++ b/internal/core/budget/loans_test.go
@@ -45,6 +45,10 @@
 	return one, two, epoch.Add(startupWait)
 }
 
+// TestLentUnitsAreNeverUsedByBothEntries lends units, with delays between
+// request, grant and receipt. It guards against a lender that lends units used
+// in the same window, or uses lent units again before a window after the
+// borrower stopped.
 func TestLentUnitsAreNeverUsedByBothEntries(t *testing.T) {
 	is := is.New(t)
 	one, two, now := startedLedgers()
@@ -85,6 +89,9 @@
 	return r, g
 }
 
+// TestSmallerRenewalKeepsFirstLoanOutstanding guards against a lender that
+// takes the rest of a larger loan back before it has expired, because the
+// renewal is smaller.
 func TestSmallerRenewalKeepsFirstLoanOutstanding(t *testing.T) {
 	is := is.New(t)
 	one, two, now := startedLedgers()
@@ -98,6 +105,8 @@
 	is.Equal(takeAll(two, now.Add(4500*time.Millisecond)), 40)
 }
 
+// TestLoansDroppedWhenSplitChanges guards against loans between entries whose
+// shares come from different versions of the document.
 func TestLoansDroppedWhenSplitChanges(t *testing.T) {
 	is := is.New(t)
 	one, two, now := startedLedgers()
@@ -142,6 +151,9 @@
 	is.Equal(takeAll(ledgers["e2"], now.Add(1100*time.Millisecond)), 60)
 }
 
+// TestRestartedEntryWaitsForATermAndAWindow guards against an entry that uses
+// its share after a restart while loans by its earlier incarnation may still be
+// in use.
 func TestRestartedEntryWaitsForATermAndAWindow(t *testing.T) {
 	is := is.New(t)
 	_, _, now := startedLedgers()
@@ -154,6 +166,8 @@
 	is.Equal(takeAll(l, now.Add(6100*time.Millisecond)), 50)
 }
 
+// TestDocumentChange guards against an entry that raises its share before the
+// other entry is known to have the version, or lowers it too late.
 func TestDocumentChange(t *testing.T) {
 	secondDocument := func(cap int, percents ...int) *document.Document {
 		doc := twoEntries(cap)
--- a/internal/core/budget/property_test.go
+++ b/internal/core/budget/property_test.go
@@ -320,6 +320,10 @@
 	}
 }
 
+// TestCapHoldsInEveryWindow runs three entries through random schedules of
+// requests, loans, lost and repeated messages, restarts and document changes.
+// It guards against a window in which more arrives than the highest cap in
+// force, or more bytes than the link may carry.
 func TestCapHoldsInEveryWindow(t *testing.T) {
 	admitted, transfers := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/core/claims/handover.go
+++ b/internal/core/claims/handover.go
@@ -8,8 +8,8 @@
 
 // formerHome is the state kept of a home whose claims were imported.
 type formerHome struct {
-	// complete is set when the home started nothing besides the imported rows
-	// and never will.
+	// complete is set when the imported rows are all that may have run of the
+	// home's keys, and none of its other keys will ever start.
 	complete bool
 	// evictedUpTo is the latest minting time among the evicted rows.
 	evictedUpTo time.Time
@@ -22,7 +22,7 @@
 	// From is the home of all rows.
 	From Home
 	// Complete is set when the home starts nothing any more and the rows are
-	// all that it started.
+	// all that may have run of its keys.
 	Complete bool
 	// Rows are the claims of the home that may have run.
 	Rows []Row
@@ -77,8 +77,8 @@
 }
 
 // Import stores rows of the home from; rows of the table's own home are never
-// stored. When complete is set, the rows must be everything that the home
-// started, and the home must be sealed: a key of that home without a row is
+// stored. When complete is set, the rows must be all that may have run of the
+// home's keys, and the home must be sealed: a key of that home without a row is
 // NotRun then. The same rows may be imported again, in any order and by any
 // number of entries. Import returns the number of rows that it did not store,
 // because the table has no room or they belong to another home. If there are
--- a/internal/core/claims/schedule_test.go
+++ b/internal/core/claims/schedule_test.go
@@ -311,6 +311,8 @@
 // verdict that is untrue.
 func TestSchedules(t *testing.T) { rapid.Check(t, schedules(noFault)) }
 
+// TestSchedulesCatchFaults runs schedules with one protocol violation each. It
+// guards against a check that no longer finds violations.
 func TestSchedulesCatchFaults(t *testing.T) {
 	for _, f := range []fault{retryAfterLoss, duplicatedDispatch, startAnywhere, sameIncarnation, unsealed, notRunFromOtherEntry, reuseNotRun} {
 		t.Run(string(f), func(t *testing.T) {
--- a/internal/core/claims/table.go
+++ b/internal/core/claims/table.go
@@ -51,8 +51,8 @@
 	// mayHaveRunUpTo is the latest minting time among the evicted claims of
 	// this home that may have run. notRunUpTo is the latest among its keys that
 	// were reported NotRun and have no claim. Keys minted up to these times
-	// never start, whatever the time, so that an evicted key can't start
-	// after the clock is set back.
+	// never start, so that an evicted key can't start after the clock is set
+	// back.
 	mayHaveRunUpTo time.Time
 	notRunUpTo     time.Time
 	// former holds the former homes whose claims were imported.
--- a/internal/core/claims/table_test.go
+++ b/internal/core/claims/table_test.go
@@ -35,6 +35,8 @@
 	return k
 }
 
+// TestParseKey guards against two texts that parse to the same key, and against
+// keys that are out of bounds.
 func TestParseKey(t *testing.T) {
 	is := is.New(t)
 	k := key(t, self, "A-z_9")
@@ -144,6 +146,8 @@
 	}
 }
 
+// TestLargeAnswers stores an answer that is too large for the table. It guards
+// against a lost verdict and against an empty body presented as the answer.
 func TestLargeAnswers(t *testing.T) {
 	is := is.New(t)
 	cfg := limits
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -50,6 +50,8 @@
 	b.end("w0", f, quarantine.Answered)
 }
 
+// TestAdmission prepares a table and checks whether another run of the
+// fingerprint may start.
 func TestAdmission(t *testing.T) {
 	type B = *testTable
 	const ok, wait, no = quarantine.Admitted, quarantine.Wait, quarantine.Refused
@@ -210,6 +212,9 @@
 	}
 }
 
+// TestChanges checks which changes a table returns for the other entries: a
+// suspicion after a reset and after a first death, a quarantine after the
+// second, and a lift when both turn out to be part of a correlated failure.
 func TestChanges(t *testing.T) {
 	is := is.New(t)
 	b := newTestTable()
