--- a/internal/core/budget/bucket.go
+++ b/internal/core/budget/bucket.go
@@ -44,9 +44,10 @@
 	// several loans with one entry only the largest counts.
 	lent     map[borrowerID][]loan
 	borrowed map[string][]loan
-	// retryAfter is the time before which a lender isn't sent another request.
+	// retryAfter is the time before which a lender isn't tried again for a new
+	// loan. Renewals don't wait for it.
 	retryAfter map[string]time.Time
-	// lastLender is the lender that the last new request was sent to.
+	// lastLender is the entry that nextLender returned last.
 	lastLender string
 	// rampStartedAt is when the present ramp started, lastDemand when units
 	// were last requested.
--- a/internal/core/budget/doc.go
+++ b/internal/core/budget/doc.go
@@ -12,7 +12,9 @@
 //
 // An entry lowers its share at once when a document lowers it. It raises its
 // share only when every other entry that might still use more than the document
-// gives it is known to have the document, and a window has passed since.
+// gives it is known to have the document, or hasn't reported a version for
+// ReportTimeout, and a quiet period has passed since: a window and the transit
+// of a request.
 //
 // Terms: a bucket is one entry's part of one cap, a split is how a document
 // divides a cap into shares, and a hold is the reservation of one request.
--- a/internal/core/budget/hold.go
+++ b/internal/core/budget/hold.go
@@ -48,11 +48,11 @@
 }
 
 // Settle ends a hold and counts its actual use at the time now, so that it
-// counts for one window from now on. Until now the whole hold counted; whenever
-// the units were used since they were reserved, they are in the count of each
-// window around that time. bytes is the number of bytes that went over the
-// link: those of the answer if the charge has AnswerBytes, and those of request
-// and answer otherwise.
+// counts for one window from now on. Until now the whole hold counted.
+// Every window that contains the time at which the units were used therefore
+// counts them, whenever that was since the reservation. bytes is the number of
+// bytes that went over the link: those of the answer if the charge has
+// AnswerBytes, and those of request and answer otherwise.
 func (l *Ledger) Settle(now time.Time, h *Hold, bytes int64) {
 	now = l.monotonic(now)
 	for _, u := range h.parts {
--- a/internal/core/budget/link_test.go
+++ b/internal/core/budget/link_test.go
@@ -88,8 +88,8 @@
 	is.True(l.Admit(now, budget.Charge{Link: &budget.LinkID{From: "x", To: "y"}, Bytes: 1 << 40}) != nil)
 }
 
-// TestAnswersUseTheLinkInTheirDirection guards against answer bytes that are
-// counted on the link of the request, and request bytes that are not.
+// TestAnswersUseTheLinkInTheirDirection guards against counting the bytes of an
+// answer on the link of its request, and against not counting the request's.
 func TestAnswersUseTheLinkInTheirDirection(t *testing.T) {
 	is := is.New(t)
 	doc := twoEntries(100)
--- a/internal/core/budget/loans.go
+++ b/internal/core/budget/loans.go
@@ -97,8 +97,8 @@
 }
 
 // nextLender returns the next entry that has a share, has no loan to this
-// entry, and neither was tried nor refused in the last half window; empty when
-// there is none.
+// entry, and neither was returned before nor refused in the last half window;
+// empty when there is none.
 func (l *Ledger) nextLender(now time.Time, b *bucket) string {
 	var lenders []string
 	for entry, share := range b.current.shares {
@@ -152,7 +152,7 @@
 
 // spare returns what is left of this entry's share after loans, its own need in
 // the last window, and the reserve. It is negative when the entry itself lacks
-// units; loans aren't renewed then.
+// units; loans are then renewed for fewer units or not at all.
 func (l *Ledger) spare(now time.Time, b *bucket) int64 {
 	reserve := b.limit / int64(l.cfg.ReserveDivisor)
 	need := max(b.use.used(now)+b.reserved, b.demand.used(now)) + reserve
--- a/internal/core/budget/loans_test.go
+++ b/internal/core/budget/loans_test.go
@@ -47,8 +47,8 @@
 
 // TestLentUnitsAreNeverUsedByBothEntries lends units, with delays between
 // request, grant and receipt. It guards against a lender that lends units used
-// in the same window, or uses lent units again before a window after the
-// borrower stopped.
+// in the same window, or uses lent units again before a window has passed since
+// the borrower's term ended.
 func TestLentUnitsAreNeverUsedByBothEntries(t *testing.T) {
 	is := is.New(t)
 	one, two, now := startedLedgers()
@@ -180,9 +180,9 @@
 	cases := []struct {
 		name string
 		doc  *document.Document
-		// used is taken in the window before the change, immediately is
-		// admitted right after it, later is admitted 2 seconds later, and
-		// acknowledged once e2 is known to have the version.
+		// used is taken in the window before the change. immediately is
+		// admitted right after it, later 2 s after that, and acknowledged 1.5 s
+		// after e2 is known to have the version.
 		used, immediately, later, acknowledged int
 	}{
 		{"lowered", secondDocument(20), 50, 0, 10, 10},
@@ -212,7 +212,7 @@
 
 // TestUsableShareOfCap checks how much of a cap sixteen entries can use when
 // requests count as arrived at once, and when they do so only after the default
-// transit.
+// transit. It guards against loans that leave too much of the cap unused.
 func TestUsableShareOfCap(t *testing.T) {
 	type minimum struct{ quick, slow float64 }
 	bounds := map[string]minimum{
--- a/internal/core/claims/handover.go
+++ b/internal/core/claims/handover.go
@@ -33,8 +33,8 @@
 // outcomes.
 func (t *Table) Seal() { t.sealed = true }
 
-// Complete reports whether an Export made now holds everything that this home
-// ever started and that may have run: the table is sealed, and no claim was
+// Complete reports whether an Export made now holds all keys of this home that
+// may have run and haven't expired: the table is sealed, and no claim was
 // evicted too early by a clock that has since been set back. Attempts may be in
 // flight; their rows say MayHaveRun until a later Export has their outcomes.
 func (t *Table) Complete(now time.Time) bool {
@@ -106,7 +106,7 @@
 
 // importRow stores one row and reports whether its key has a claim in the
 // table. An existing claim is replaced only if the row says Ran and the claim
-// does not.
+// does not: the row then has an outcome that wasn't known here.
 func (t *Table) importRow(r Row) bool {
 	if known, ok := t.claims[r.Key.String()]; ok {
 		if known.outcome.Verdict == verdict.Ran || r.Outcome.Verdict != verdict.Ran {
--- a/internal/core/claims/table.go
+++ b/internal/core/claims/table.go
@@ -103,9 +103,9 @@
 // and the caller takes a new key to try again.
 //
 // A key that was used with another request before is refused as MayHaveRun,
-// unless its outcome was NotRun. A caller that encodes one request in two ways
-// sends the same key with two bodies; on NotRun it would send the request again
-// with a new key.
+// unless its outcome was NotRun. The reason is a caller that encodes one request
+// in two ways and so sends the same key with two bodies: on NotRun it would send
+// the request again with a new key, although the first body may have run.
 func (t *Table) Begin(now time.Time, k Key, f Fingerprint) Decision {
 	t.Expire(now)
 	if c, ok := t.claims[k.String()]; ok {
--- a/internal/core/quarantine/memory.go
+++ b/internal/core/quarantine/memory.go
@@ -72,7 +72,8 @@
 }
 
 // dropOldRuns removes the lost runs to which no death can be attributed any
-// more, and the deaths if the fingerprint wasn't requested for Hold.
+// more. It also removes the deaths if the fingerprint isn't in quarantine and
+// wasn't requested for Hold.
 func (t *Table) dropOldRuns(now time.Time, r *record) {
 	r.runs = slices.DeleteFunc(r.runs, func(x run) bool { return t.runExpired(now, x) })
 	if !now.Before(r.quarantinedUntil) && now.Sub(r.lastRequested) >= t.cfg.Hold {
@@ -81,7 +82,8 @@
 }
 
 // runExpired reports whether no death can be attributed to a lost run any more.
-// A run that was given up expires early while there are many records.
+// A run that was given up expires early, after Blame, while there are more
+// records than half of MaxEntries.
 func (t *Table) runExpired(now time.Time, x run) bool {
 	age := now.Sub(x.lost)
 	if x.lost.IsZero() || age < t.cfg.Blame {
--- a/internal/core/quarantine/order.go
+++ b/internal/core/quarantine/order.go
@@ -11,8 +11,8 @@
 	// version of an operator's lift is that far in the future, so that it is
 	// above those of all changes that were made before it.
 	clockSkew = 5 * time.Second
-	// liftRepeat is how long a repeated lift by an operator counts as the same
-	// one.
+	// liftRepeat is how long after a lift an operator's order to lift counts as
+	// a repetition of it.
 	liftRepeat = 11 * time.Second
 )
 
@@ -49,8 +49,8 @@
 }
 
 // LiftByOrder lifts the quarantine of f for an operator and returns the lift's
-// version. An order that is repeated within liftRepeat is the same one: again
-// is set and nothing changes.
+// version. An order within liftRepeat after any lift of f, also one by another
+// entry, counts as a repetition: again is set and nothing changes.
 func (t *Table) LiftByOrder(now time.Time, f fingerprint.Fingerprint) (version uint64, again bool) {
 	r := t.record(f)
 	if !r.liftedAt.IsZero() && now.Sub(r.liftedAt) < liftRepeat {
@@ -62,7 +62,7 @@
 }
 
 // recordLift records a lift. While more than MaxEntries fingerprints have a
-// record, the record isn't kept for the sake of the lift.
+// record, the record isn't kept for the lift alone.
 func (t *Table) recordLift(now time.Time, r *record, version uint64) {
 	r.lifted = version
 	r.liftedAt = now
@@ -84,7 +84,7 @@
 }
 
 // TakeChange reports whether a change made by another entry is to be applied;
-// one that is older than the newest lift isn't.
+// one that isn't newer than the newest lift isn't.
 func (t *Table) TakeChange(f fingerprint.Fingerprint, version uint64) bool {
 	r := t.records[f]
 	if r != nil && version <= r.lifted {
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -78,8 +78,10 @@
 }
 
 // unresolvedRuns returns the number of runs that may still crash their
-// endpoint: those in flight, and those lost on an endpoint that has shown no
-// evidence of liveness since. A run that was given up counts for Blame at most.
+// endpoint, or may have crashed it: those in flight and those that were lost. A
+// run that was given up counts for Blame at most, and no longer once its
+// endpoint has answered a later run. A run whose connection was reset counts
+// until dropOldRuns removes it.
 func (t *Table) unresolvedRuns(now time.Time, r *record) int {
 	n := 0
 	for _, x := range r.runs {
@@ -114,8 +116,8 @@
 	return n
 }
 
-// Ended records the end of an admitted run. An answer clears all suspicion of f
-// unless f is in quarantine. While more than MaxEntries fingerprints have a
+// Ended records the end of an admitted run. Unless f is in quarantine, an answer
+// marks f as proven and removes its deaths and lost runs. While more than MaxEntries fingerprints have a
 // record, a lost run isn't remembered.
 func (t *Table) Ended(now time.Time, endpoint string, number uint64, f fingerprint.Fingerprint, end End) Change {
 	r := t.records[f]
@@ -163,7 +165,9 @@
 	return Change{Suspected: []fingerprint.Fingerprint{f}}
 }
 
-// clearSuspicion removes all suspicion of f, unless f is in quarantine already.
+// clearSuspicion marks f as proven and removes its deaths and lost runs, unless
+// f is in quarantine already. The suspicion of other entries stays recorded, but
+// doesn't hold f back while f is proven.
 func (t *Table) clearSuspicion(now time.Time, f fingerprint.Fingerprint, r *record) Change {
 	if now.Before(r.quarantinedUntil) {
 		return Change{}
@@ -196,7 +200,8 @@
 	r.suspectedUntil = later(r.suspectedUntil, now.Add(d))
 }
 
-// Lift ends the quarantine of f and removes its deaths and lost runs.
+// Lift ends the quarantine of f and the suspicion of other entries, and removes
+// its deaths and lost runs.
 func (t *Table) Lift(f fingerprint.Fingerprint) {
 	r := t.records[f]
 	if r == nil {
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -51,7 +51,8 @@
 }
 
 // TestAdmission prepares a table and checks whether another run of the
-// fingerprint may start.
+// fingerprint may start. It guards against admitting a run that may crash a
+// third endpoint, and against refusing a request that is not suspected.
 func TestAdmission(t *testing.T) {
 	type B = *testTable
 	const ok, wait, no = quarantine.Admitted, quarantine.Wait, quarantine.Refused
--- a/internal/core/quarantine/types.go
+++ b/internal/core/quarantine/types.go
@@ -32,8 +32,10 @@
 	// CorrelatedDeaths is the number of deaths without the fingerprint, within
 	// CorrelationWindow, that make a failure a correlated one.
 	CorrelatedDeaths int
-	// MaxEntries bounds the fingerprints that have a record, and likewise those
-	// that are remembered as proven.
+	// MaxEntries is the number of records above which lost runs and lifts are no
+	// longer remembered, and the maximum number of fingerprints that are
+	// remembered as proven. Above half as many records, runs that were given up
+	// are remembered for Blame only.
 	MaxEntries int
 }
 
