--- a/internal/app/controller/cluster_test.go
+++ b/internal/app/controller/cluster_test.go
@@ -21,10 +21,11 @@
 	"sassafrasreach/internal/port"
 )
 
-// errUnreachable is the error of a call to a controller that is down or cut off.
+// errUnreachable is the error of a call to a controller that is stopped or cut
+// off.
 var errUnreachable = errors.New("unreachable")
 
-// disk is a VoterStore whose content outlives its controller.
+// disk is an in-memory VoterStore whose content outlives its controller.
 type disk struct {
 	mu    sync.Mutex
 	state quorum.State
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// member is one VM with a controller.
+// member is one VM with its disk and controller.
 type member struct {
 	name, zone, region string
 	disk               *disk
@@ -52,22 +53,23 @@
 	stop               context.CancelFunc
 }
 
-// cluster is a system of controllers on an in-memory network.
+// cluster is a set of controllers on an in-memory network.
 type cluster struct {
 	t       *testing.T
 	mu      sync.Mutex
 	members map[string]*member
-	cut     map[[2]string]bool
+	blocked map[[2]string]bool
 	delay   time.Duration
 	seeds   []string
 }
 
 var regions = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 
-// newCluster starts a controller in each zone for the first time, in any order.
+// newCluster starts one controller in each zone, in random order, as at the
+// first start of the system.
 func newCluster(t *testing.T, delay time.Duration) *cluster {
 	c := &cluster{
-		t: t, members: make(map[string]*member), cut: make(map[[2]string]bool), delay: delay,
+		t: t, members: make(map[string]*member), blocked: make(map[[2]string]bool), delay: delay,
 		seeds: []string{"a1:1", "b1:1", "c1:1"},
 	}
 	for zone, region := range regions {
@@ -84,13 +86,14 @@
 	return c
 }
 
-// link is the way from one controller to another.
+// link is the network connection from one controller to another.
 type link struct {
 	cluster  *cluster
 	from, to string
 }
 
-// reach waits for the way and returns the controller there, or none.
+// reach waits for the network delay and returns the controller, or
+// errUnreachable if it is stopped or cut off.
 func (l link) reach(ctx context.Context) (*controller.Controller, error) {
 	select {
 	case <-time.After(l.cluster.delay):
@@ -100,13 +103,15 @@
 	l.cluster.mu.Lock()
 	defer l.cluster.mu.Unlock()
 	m := l.cluster.members[l.to]
-	if m == nil || m.controller == nil || l.cluster.cut[[2]string{l.from, l.to}] {
+	if m == nil || m.controller == nil || l.cluster.blocked[[2]string{l.from, l.to}] {
 		return nil, errUnreachable
 	}
 	return m.controller, nil
 }
 
-func over[A any](ctx context.Context, l link, do func(*controller.Controller) (A, error)) (A, error) {
+// call runs a function on the controller at the other end of a link. The response is
+// lost when the connection is cut before it arrives.
+func call[A any](ctx context.Context, l link, do func(*controller.Controller) (A, error)) (A, error) {
 	var none A
 	c, err := l.reach(ctx)
 	if err != nil {
@@ -117,30 +122,30 @@
 		return none, err
 	}
 	if _, err := l.reach(ctx); err != nil {
-		return none, err // the answer is lost
+		return none, err // the response is lost
 	}
 	return out, nil
 }
 
 func (l link) Prepare(ctx context.Context, m quorum.Prepare) (quorum.Promise, error) {
-	return over(ctx, l, func(c *controller.Controller) (quorum.Promise, error) { return c.Prepare(ctx, m) })
+	return call(ctx, l, func(c *controller.Controller) (quorum.Promise, error) { return c.Prepare(ctx, m) })
 }
 
 func (l link) Accept(ctx context.Context, m quorum.Accept) (*quorum.Refusal, error) {
-	return over(ctx, l, func(c *controller.Controller) (*quorum.Refusal, error) { return c.Accept(ctx, m) })
+	return call(ctx, l, func(c *controller.Controller) (*quorum.Refusal, error) { return c.Accept(ctx, m) })
 }
 
 func (l link) Learn(ctx context.Context, e quorum.Epoch, v quorum.Accepted) error {
-	_, err := over(ctx, l, func(c *controller.Controller) (struct{}, error) { return struct{}{}, c.Learn(ctx, e, v) })
+	_, err := call(ctx, l, func(c *controller.Controller) (struct{}, error) { return struct{}{}, c.Learn(ctx, e, v) })
 	return err
 }
 
 func (l link) Exchange(ctx context.Context, n port.News) (port.NewsReply, error) {
-	return over(ctx, l, func(c *controller.Controller) (port.NewsReply, error) { return c.Exchange(ctx, n) })
+	return call(ctx, l, func(c *controller.Controller) (port.NewsReply, error) { return c.Exchange(ctx, n) })
 }
 
 func (l link) Order(ctx context.Context, o fleet.Order) (port.OrderReply, error) {
-	return over(ctx, l, func(c *controller.Controller) (port.OrderReply, error) { return c.Order(ctx, o) })
+	return call(ctx, l, func(c *controller.Controller) (port.OrderReply, error) { return c.Order(ctx, o) })
 }
 
 func (c *cluster) start(address string, founding bool) {
@@ -168,7 +173,7 @@
 	go made.Run(ctx)
 }
 
-// kill ends a controller at once; wipe takes its disk besides.
+// kill stops a controller at once and keeps its disk.
 func (c *cluster) kill(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,9 +184,11 @@
 	m.controller, m.stop = nil, nil
 }
 
+// wipe replaces a stopped controller's disk by an empty one.
 func (c *cluster) wipe(address string) { c.members[address].disk = &disk{} }
 
-func (c *cluster) any() *controller.Controller {
+// anyRunning returns one of the running controllers; nil if there is none.
+func (c *cluster) anyRunning() *controller.Controller {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range c.members {
@@ -192,7 +199,8 @@
 	return nil
 }
 
-// order sends a configuration to any controller until it is accepted.
+// order sends a configuration to a running controller until it is accepted or
+// orderLimit has passed.
 func (c *cluster) order(base, version uint64) error {
 	change := fleet.Change{
 		Base: base, Source: fmt.Appendf(nil, "source %d", version), Config: fleet.Config{
@@ -205,7 +213,7 @@
 	}
 	var err error
 	for deadline := time.Now().Add(orderLimit); time.Now().Before(deadline); {
-		if at := c.any(); at != nil {
+		if at := c.anyRunning(); at != nil {
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			err = at.Configure(ctx, change)
 			cancel()
@@ -218,7 +226,8 @@
 	return err
 }
 
-// read returns the version that a controller is sure of, within a time.
+// read returns the configuration version that a quorum confirms to a
+// controller, retrying for a time.
 func (c *cluster) read(address string, within time.Duration) (uint64, error) {
 	err := errUnreachable
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -234,49 +243,51 @@
 }
 
 const (
-	// orderLimit bounds the time in which an order is accepted by a stable system.
+	// orderLimit bounds the time in which a stable system accepts an order.
 	orderLimit = 10 * time.Second
-	// readLimit bounds the time in which the configuration is read back after the
-	// machines are back.
+	// readLimit bounds the time in which the configuration is read back after
+	// all controllers have restarted.
 	readLimit = 10 * time.Second
 )
 
-// voters waits until the newest epoch has all live controllers as voters.
-func (c *cluster) settled() {
+// settle waits for the time in which all live controllers become voters of the
+// newest epoch.
+func (c *cluster) settle() {
 	time.Sleep(1500 * time.Millisecond)
 }
 
-// TestFinalFault loses two disks and the power of all controllers right after an
-// acknowledgement, for random pairs of disks after random earlier losses. What
-// was acknowledged is read back at every controller, and the next order is
-// accepted.
-func TestFinalFault(t *testing.T) {
+// TestDiskLossDuringFullRestart guards against the loss of an acknowledged
+// order when all controllers lose power right after the acknowledgement and
+// two random disks are lost with it, in half of the runs after an earlier loss
+// of a disk. Every controller reads the acknowledged version back, and the
+// next order is accepted.
+func TestDiskLossDuringFullRestart(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			draw := rand.New(rand.NewPCG(seed, 1))
-			c := newCluster(t, time.Duration(1+draw.IntN(30))*time.Millisecond)
+			rng := rand.New(rand.NewPCG(seed, 1))
+			c := newCluster(t, time.Duration(1+rng.IntN(30))*time.Millisecond)
 			is.NoErr(c.order(0, 2))
-			c.settled()
+			c.settle()
 			addresses := make([]string, 0, len(c.members))
 			for zone := range regions {
 				addresses = append(addresses, zone+":1")
 			}
-			if draw.IntN(2) == 0 { // an earlier lost disk
-				draw.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+			if rng.IntN(2) == 0 { // a disk is lost earlier
+				rng.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 				c.kill(addresses[0])
 				c.wipe(addresses[0])
-				time.Sleep(time.Duration(draw.IntN(1500)) * time.Millisecond)
+				time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 				c.start(addresses[0], false)
-				time.Sleep(4 * time.Second) // a lost machine is lost until then
+				time.Sleep(4 * time.Second) // until the voters were changed
 			}
 			is.NoErr(c.order(2, 5))
-			time.Sleep(time.Duration(draw.IntN(20)) * time.Millisecond)
+			time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 			for _, a := range addresses {
 				c.kill(a)
 			}
-			draw.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+			rng.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 			c.wipe(addresses[0])
 			c.wipe(addresses[1])
 			for _, a := range addresses {
--- a/internal/app/controller/confirm.go
+++ b/internal/app/controller/confirm.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// doubtFor is how long a later value may be on its way before it is asked for.
-	doubtFor = 400 * time.Millisecond
-	// doubtOthersFor is the same for a controller that doesn't preside: first the
-	// one that does may settle it.
-	doubtOthersFor = 1500 * time.Millisecond
+	// catchUpDelay is how long a later value may be in transit before the
+	// coordinator reads the register for it.
+	catchUpDelay = 400 * time.Millisecond
+	// catchUpDelayOthers is the same for the other controllers, so that the
+	// coordinator reads first.
+	catchUpDelayOthers = 1500 * time.Millisecond
 )
 
-// confirmed returns the latest moment at which a majority of the voters hadn't
-// accepted anything later than what this controller knows to be chosen; zero if
-// there is none. Must hold mu.
+// confirmed returns the latest time at which a majority of the voters had
+// accepted nothing later than the value that this controller knows to be
+// chosen; zero if there is none. Must hold mu.
 func (c *Controller) confirmed(now time.Time) time.Time {
-	if c.chosen.Value == nil || c.chosenIn != c.epoch.Number || c.chosen.Ballot == (quorum.Ballot{}) {
+	if c.chosen.Value == nil || c.chosenEpoch != c.epoch.Number || c.chosen.Ballot == (quorum.Ballot{}) {
 		return time.Time{}
 	}
 	var moments []time.Time
 	for _, v := range c.epoch.Voters {
-		if at, ok := c.agreed(now, v); ok {
+		if at, ok := c.voterConfirmed(now, v); ok {
 			moments = append(moments, at)
 		}
 	}
@@ -37,61 +38,63 @@
 	return moments[majority-1]
 }
 
-// agreed returns when a voter was last known to hold nothing later. Must hold mu.
-func (c *Controller) agreed(now time.Time, v quorum.Voter) (time.Time, bool) {
+// voterConfirmed returns when a voter was last known to have accepted nothing
+// later than the chosen value. Must hold mu.
+func (c *Controller) voterConfirmed(now time.Time, v quorum.Voter) (time.Time, bool) {
 	if v.Address == c.config.Address {
-		s := c.voter.standing()
+		s := c.voter.savedState()
 		return now, v.ID == s.ID && c.notLater(s.Epoch.Number, s.Accepted.Ballot)
 	}
 	p := c.peers[v.Address]
 	if p == nil || p.Disk != v.ID {
 		return time.Time{}, false
 	}
-	return p.asked, c.notLater(p.epoch, p.accepted)
+	return p.sentAt, c.notLater(p.epoch, p.accepted)
 }
 
-// notLater says whether what a voter accepted isn't later than the chosen value.
-// Must hold mu.
+// notLater reports whether the ballot that a voter accepted isn't later than
+// the one of the chosen value. Must hold mu.
 func (c *Controller) notLater(epoch uint64, accepted quorum.Ballot) bool {
-	return epoch < c.chosenIn || epoch == c.chosenIn && !c.chosen.Ballot.Less(accepted)
+	return epoch < c.chosenEpoch || epoch == c.chosenEpoch && !c.chosen.Ballot.Less(accepted)
 }
 
-// catchUp reads the register when a voter has reported a later value, or no
-// value is known of the newest epoch, for longer than news takes to arrive.
+// catchUp reads the register when, for longer than an update takes to arrive,
+// a voter has reported a later value or no value of the newest epoch is known.
 func (c *Controller) catchUp(ctx context.Context) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
 	behind := c.behind(now)
 	if !behind {
-		c.doubted = time.Time{}
-	} else if c.doubted.IsZero() {
-		c.doubted = now.Add(jitter(doubtFor) - doubtFor)
+		c.behindSince = time.Time{}
+	} else if c.behindSince.IsZero() {
+		c.behindSince = now.Add(jitter(catchUpDelay) - catchUpDelay)
 	}
-	patience := doubtFor
+	delay := catchUpDelay
 	switch {
-	case c.presiding(now) != c.config.Address:
-		patience = doubtOthersFor
+	case c.coordinator(now) != c.config.Address:
+		delay = catchUpDelayOthers
 	case c.chosen.Value == nil:
-		patience = 0 // a start: nobody can be expected to tell
+		delay = 0 // at a start no other controller can be expected to send the value
 	}
-	due := behind && now.Sub(c.doubted) >= patience
+	due := behind && now.Sub(c.behindSince) >= delay
 	c.mu.Unlock()
 	if !due {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// An empty register or no quorum is looked at again in the next round.
-	_, _, _ = c.propose(ctx, keep)
+	// An empty register or a missing quorum is retried in the next round.
+	_, _, _ = c.propose(ctx, keepValue)
 }
 
-// behind must hold mu.
+// behind reports whether a later value than the known one may have been
+// chosen. Must hold mu.
 func (c *Controller) behind(now time.Time) bool {
 	if c.epoch.Number == 0 {
 		return false
 	}
-	if c.chosenIn != c.epoch.Number || c.chosen.Ballot == (quorum.Ballot{}) {
-		return c.epoch.Number > 1 || c.chosen.Value != nil || c.acceptedElsewhere()
+	if c.chosenEpoch != c.epoch.Number || c.chosen.Ballot == (quorum.Ballot{}) {
+		return c.epoch.Number > 1 || c.chosen.Value != nil || c.acceptedAnywhere()
 	}
 	for _, v := range c.epoch.Voters {
 		p := c.peers[v.Address]
@@ -102,12 +105,13 @@
 	return false
 }
 
-// acceptedElsewhere says whether a voter reported an accepted value. Must hold mu.
-func (c *Controller) acceptedElsewhere() bool {
+// acceptedAnywhere reports whether any voter, this one included, is known to
+// have accepted a value. Must hold mu.
+func (c *Controller) acceptedAnywhere() bool {
 	for _, p := range c.peers {
 		if p.accepted != (quorum.Ballot{}) {
 			return true
 		}
 	}
-	return c.voter.standing().Accepted.Value != nil
+	return c.voter.savedState().Accepted.Value != nil
 }
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -20,49 +20,51 @@
 )
 
 const (
-	// exchangePeriod is the time between two rounds of news: a quarter of the
-	// time after which a controller counts as silent.
+	// exchangePeriod is the time between two rounds of exchanges with the
+	// other controllers: a fifth of livenessTimeout.
 	exchangePeriod = 300 * time.Millisecond
-	// silentAfter is how long after its last answer a controller or gateway is
-	// taken to be out of reach: a few rounds of news and a slow link.
-	silentAfter = 1500 * time.Millisecond
+	// livenessTimeout is the time since its last response after which a
+	// controller or gateway counts as unreachable: a few rounds of exchanges
+	// and a slow link.
+	livenessTimeout = 1500 * time.Millisecond
 	// callTimeout bounds a call to another controller.
 	callTimeout = time.Second
-	// endpointMemory is how long a silent endpoint is remembered, so that late
-	// news of it is told from new.
-	endpointMemory = 60 * time.Second
-	// tickPeriod is the time between two looks at waiting requests.
+	// endpointRetention is how long an endpoint that no longer announces
+	// itself is remembered, so that a late announcement of it is recognized as
+	// old.
+	endpointRetention = 60 * time.Second
+	// tickPeriod is the time between two checks of waiting requests.
 	tickPeriod = 20 * time.Millisecond
 )
 
-// Config is what a controller is told at its start.
+// Config holds the settings that a controller is started with.
 type Config struct {
 	Name string
-	// Address is the IP:port where it answers controllers and gateways.
+	// Address is the IP:port where it serves controllers and gateways.
 	Address string
-	// Zone and Region say where it runs.
+	// Zone and Region are its failure domain and region.
 	Zone, Region string
-	// Zones gives the region of each failure domain.
+	// Zones maps each failure domain to its region.
 	Zones map[string]string
-	// Seeds are addresses of controllers; at the first start of the system all
-	// are told the same, and these found it.
+	// Seeds are addresses of controllers. At the first start of the system all
+	// controllers are given the same seeds, and these are the founding voters.
 	Seeds []string
-	// Retries bounds the second sends in the whole system.
+	// Retries bounds the retries in the whole system.
 	Retries dispatch.RetryBudget
-	// MaxShift is the share of a region's requests that may change the region in
-	// which they run from one window to the next; 0 sets no bound.
+	// MaxShift bounds the share of a region's requests that may change the
+	// region in which they run from one window to the next; 0 sets no bound.
 	MaxShift float64
-	// Founding says that the system starts for the first time.
+	// Founding is set when the system starts for the first time.
 	Founding bool
 }
 
-// Ports are what a controller needs of the outside.
+// Ports are the external dependencies of a controller.
 type Ports struct {
 	Clock  port.Clock
 	Logger *slog.Logger
 	Store  port.VoterStore
 	Meter  port.FleetMeter
-	// Dial returns the way to another controller.
+	// Dial returns a client for another controller.
 	Dial func(address string) (port.ControllerPeer, error)
 }
 
@@ -72,36 +74,40 @@
 	ports       Ports
 	incarnation uint64
 	voter       *voter
-	// proposing is full while this controller proposes.
+	// proposing is a semaphore: it is full while this controller proposes.
 	proposing chan struct{}
 
-	// mu guards what follows.
-	mu       sync.Mutex
-	peers    map[string]*peer
-	epoch    quorum.Epoch
-	chosen   quorum.Accepted
-	chosenIn uint64
-	// seed is a value of epoch seedIn that a voter can enter it with.
-	seed   *quorum.Value
-	seedIn uint64
-	state  *fleet.State
-	round  uint64
-	// doubted is since when a voter has reported a later value than chosen.
-	doubted  time.Time
-	gateways map[string]port.Gateway
-	// watchers holds when a gateway last watched this controller.
+	// mu guards the fields below.
+	mu          sync.Mutex
+	peers       map[string]*peer
+	epoch       quorum.Epoch
+	chosen      quorum.Accepted
+	chosenEpoch uint64
+	// seed is a value of epoch seedEpoch that a voter can enter the epoch
+	// with.
+	seed      *quorum.Value
+	seedEpoch uint64
+	state     *fleet.State
+	round     uint64
+	// behindSince is when behind first returned true, shifted by jitter; zero
+	// while it returns false.
+	behindSince time.Time
+	gateways    map[string]port.Gateway
+	// watchers maps a gateway's address to the time of its last Watch call
+	// here.
 	watchers  map[string]time.Time
 	endpoints *registry.Registry
-	// heardHere counts the announcements that were made to this controller; it
-	// holds the count at an endpoint's last one.
-	heardHere map[string]uint64
-	heardSeq  uint64
-	ballots   *lease.Ballots
-	regions   map[string]*region
-	// loads and loans are what regions were last said to need, and to lend by
-	// lender.
-	loads    map[loadKey]heardLoad
-	loans    map[string]heardLoans
+	// localAnnounceSeq maps an endpoint to the value of announceSeq at its
+	// last announcement; announceSeq counts the announcements made to this
+	// controller.
+	localAnnounceSeq map[string]uint64
+	announceSeq      uint64
+	ballots          *lease.Ballots
+	regions          map[string]*region
+	// loads holds the last reported load of each region and service; loans,
+	// the last reported loans by lending region.
+	loads    map[loadKey]reportedLoad
+	loans    map[string]reportedLoans
 	changed  chan struct{}
 	seeds    []string
 	stopping bool
@@ -109,16 +115,16 @@
 
 var _ port.ControllerService = (*Controller)(nil)
 
-// New returns a controller that goes on from what its disk holds. The error is
-// of the disk.
+// New returns a controller that resumes from the state on its disk. The error
+// is of the disk.
 func New(config Config, ports Ports) (*Controller, error) {
 	now := ports.Clock.Now()
 	c := &Controller{
 		config: config, ports: ports, incarnation: uint64(now.UnixNano()),
 		peers: make(map[string]*peer), state: &fleet.State{},
-		gateways: make(map[string]port.Gateway), watchers: make(map[string]time.Time), endpoints: registry.New(endpointMemory),
-		heardHere: make(map[string]uint64), ballots: lease.NewBallots(now),
-		regions: make(map[string]*region), loads: make(map[loadKey]heardLoad), loans: make(map[string]heardLoans),
+		gateways: make(map[string]port.Gateway), watchers: make(map[string]time.Time), endpoints: registry.New(endpointRetention),
+		localAnnounceSeq: make(map[string]uint64), ballots: lease.NewBallots(now),
+		regions: make(map[string]*region), loads: make(map[loadKey]reportedLoad), loans: make(map[string]reportedLoans),
 		proposing: make(chan struct{}, 1), changed: make(chan struct{}), seeds: config.Seeds,
 	}
 	for _, name := range config.Zones {
@@ -131,13 +137,14 @@
 		return nil, fmt.Errorf("voter: %w", err)
 	}
 	c.voter = v
-	c.begin()
+	c.loadEpoch()
 	return c, nil
 }
 
-// begin takes the epoch from the disk, or the founding one.
-func (c *Controller) begin() {
-	s := c.voter.standing()
+// loadEpoch takes the epoch from the disk, or the founding epoch at the first
+// start of the system.
+func (c *Controller) loadEpoch() {
+	s := c.voter.savedState()
 	c.epoch = s.Epoch
 	if c.epoch.Number == 0 && c.config.Founding {
 		c.epoch = quorum.Founding(c.config.Seeds)
@@ -147,24 +154,25 @@
 		slog.Bool("founding", c.config.Founding))
 }
 
-// Run keeps the controller going until ctx ends.
+// Run runs the periodic tasks until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { wait.Each(ctx, exchangePeriod, func() { c.exchangeRound(ctx) }) })
-	group.Go(func() { wait.Each(ctx, exchangePeriod, func() { c.keepVoters(ctx) }) })
+	group.Go(func() { wait.Each(ctx, exchangePeriod, func() { c.updateVoters(ctx) }) })
 	group.Go(func() { wait.Each(ctx, exchangePeriod, func() { c.catchUp(ctx) }) })
 	group.Go(func() { wait.Each(ctx, tickPeriod, c.tick) })
 	group.Wait()
 }
 
-// Stop makes the controller give up what others can take over.
+// Stop makes the controller give up its leases and change no voters any more,
+// so that others take over.
 func (c *Controller) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopping = true
 }
 
-// Gauges returns what the controller is at: counts by name.
+// Gauges returns the current gauge values by name.
 func (c *Controller) Gauges() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,7 +180,7 @@
 	out := map[string]int64{
 		"register.epoch": int64(c.epoch.Number), "register.voters": int64(len(c.epoch.Voters)),
 		"register.confirmed_ms_ago": -1, "config.version": int64(c.state.Config.Version),
-		"controllers.live": int64(len(c.controllers(now))), "gateways.known": int64(len(c.gateways)),
+		"controllers.live": int64(len(c.liveControllers(now))), "gateways.known": int64(len(c.gateways)),
 	}
 	if at := c.confirmed(now); !at.IsZero() {
 		out["register.confirmed_ms_ago"] = now.Sub(at).Milliseconds()
@@ -191,14 +199,14 @@
 	return out
 }
 
-// SetSeeds replaces the addresses to look for other controllers at.
+// SetSeeds replaces the addresses at which other controllers are looked for.
 func (c *Controller) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = seeds
 }
 
-// self tells of this controller. Must hold mu.
+// self describes this controller to others. Must hold mu.
 func (c *Controller) self(now time.Time) port.Controller {
 	return port.Controller{
 		Address: c.config.Address, Disk: c.voter.id, Zone: c.config.Zone, Region: c.config.Region,
@@ -206,8 +214,8 @@
 	}
 }
 
-// wake tells all that wait for a change. Must hold mu.
-func (c *Controller) wake() {
+// notifyChanged wakes all watch calls that wait for a change. Must hold mu.
+func (c *Controller) notifyChanged() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -217,8 +225,9 @@
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
 
-// live says whether something was heard of lately.
-func live(now, heard time.Time) bool { return now.Sub(heard) < silentAfter }
+// live reports whether the last response of a VM is younger than
+// livenessTimeout.
+func live(now, lastSeen time.Time) bool { return now.Sub(lastSeen) < livenessTimeout }
 
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
@@ -229,13 +238,13 @@
 	return keys
 }
 
-// newDispatchSetup returns the figures of a region's pool. The pool calls them with
-// mu held, as all of a pool is called.
+// newDispatchSetup returns the parameters of a region's pool. The pool calls
+// its functions with mu held, as is every call to a pool.
 func (c *Controller) newDispatchSetup(region string) dispatch.Setup {
 	retries := c.config.Retries
 	retries.Extra /= float64(len(c.regions))
 	return dispatch.Setup{
-		Retries: retries, Region: region, Way: c.way, MaxShift: c.config.MaxShift,
+		Retries: retries, Region: region, Way: c.roundTrip, MaxShift: c.config.MaxShift,
 		RegionOf: func(zone string) string { return c.config.Zones[zone] },
 		ColdRate: func(service string) float64 {
 			for _, s := range c.state.Config.Services {
--- a/internal/app/controller/dispatch.go
+++ b/internal/app/controller/dispatch.go
@@ -14,21 +14,24 @@
 	"sassafrasreach/internal/port"
 )
 
-// region is what this controller knows of the dispatch of a region.
+// region is the dispatch state of one region at this controller.
 type region struct {
 	name      string
 	candidate *lease.Candidate
-	// pool is set while this controller holds the region.
+	// pool is set while this controller dispatches the region, with or without
+	// a majority of the votes.
 	pool    *dispatch.Pool
 	waiting map[string]chan dispatch.Decision
-	// holder dispatches the region until a moment, as far as is known.
+	// holder is the last known holder of the region's lease; until is when
+	// that lease ends.
 	holder string
 	until  time.Time
-	// resigned says that the lease is to be given up.
+	// resigned means that the other controllers are to drop their votes for
+	// this controller.
 	resigned bool
 }
 
-// voterAddresses must hold mu.
+// voterAddresses returns the addresses of the epoch's voters. Must hold mu.
 func (c *Controller) voterAddresses() []string {
 	out := make([]string, len(c.epoch.Voters))
 	for i, v := range c.epoch.Voters {
@@ -37,11 +40,12 @@
 	return out
 }
 
-// settleRegions takes up and gives up regions. Must hold mu.
-func (c *Controller) settleRegions(now time.Time) {
+// updateRegions starts and ends the dispatch of regions and gives up leases.
+// Must hold mu.
+func (c *Controller) updateRegions(now time.Time) {
 	for _, r := range c.regions {
 		holds := c.holds(now, r)
-		if holds && !c.wants(now, r) {
+		if holds && !c.shouldDispatch(now, r) {
 			r.candidate.Resign()
 			c.ballots.Drop(r.name, c.config.Address)
 			r.resigned = true
@@ -50,29 +54,30 @@
 		if holds {
 			r.holder, r.until = c.config.Address, now.Add(lease.Term)
 		}
-		c.settle(now, r, holds)
+		c.updateDispatch(now, r, holds)
 	}
 }
 
-// holds says whether this controller has the votes for a region. Must hold mu.
+// holds reports whether this controller has a majority of the votes for a
+// region. Must hold mu.
 func (c *Controller) holds(now time.Time, r *region) bool {
 	return r.candidate.Holds(now, c.voterAddresses())
 }
 
-// settle starts, goes on with or ends the dispatch of a region. Without the votes
-// of a majority this controller dispatches as well, as long as it is the first
-// that it can reach and knows of no holder: gateways then agree on one of those
-// that do. Must hold mu.
-func (c *Controller) settle(now time.Time, r *region, firm bool) {
-	held := r.holder != c.config.Address && now.Before(r.until)
-	dispatches := firm || !held && c.wants(now, r)
+// updateDispatch starts, continues or ends the dispatch of a region. A
+// controller without a majority of the votes dispatches too, as long as it
+// ranks first among the controllers that it can reach and knows of no other
+// holder: gateways then agree on one of those that dispatch. Must hold mu.
+func (c *Controller) updateDispatch(now time.Time, r *region, hasMajority bool) {
+	heldByOther := r.holder != c.config.Address && now.Before(r.until)
+	dispatches := hasMajority || !heldByOther && c.shouldDispatch(now, r)
 	if dispatches && r.pool == nil {
 		r.pool = dispatch.NewPool(fmt.Sprintf("%s/%d/", r.name, now.UnixNano()), c.newDispatchSetup(r.name))
 		r.waiting = make(map[string]chan dispatch.Decision)
-		c.fill(now, r)
+		c.fillPool(now, r)
 		event.Log(context.Background(), c.ports.Logger, event.DispatchBegun,
-			slog.String("region", r.name), slog.Bool("firm", firm))
-		c.wake()
+			slog.String("region", r.name), slog.Bool("firm", hasMajority))
+		c.notifyChanged()
 	}
 	if !dispatches && r.pool != nil {
 		r.pool = nil
@@ -82,15 +87,16 @@
 		r.waiting = nil
 		event.Log(context.Background(), c.ports.Logger, event.DispatchEnded,
 			slog.String("region", r.name), slog.String("holder", r.holder))
-		c.wake()
+		c.notifyChanged()
 	}
 	if r.pool != nil {
-		r.pool.SetFirm(now, firm)
+		r.pool.SetFirm(now, hasMajority)
 	}
 }
 
-// unsettle tells the pools that controllers were lost or found. Must hold mu.
-func (c *Controller) unsettle(now time.Time) {
+// noteMembershipChange reports to the pools that controllers became
+// unreachable or reachable again. Must hold mu.
+func (c *Controller) noteMembershipChange(now time.Time) {
 	for _, r := range c.regions {
 		if r.pool != nil {
 			r.pool.Unsettle(now)
@@ -98,19 +104,20 @@
 	}
 }
 
-// fill gives a new pool the endpoints, and the loans that its region's former
-// dispatcher had told of. Must hold mu.
-func (c *Controller) fill(now time.Time, r *region) {
+// fillPool adds to a new pool the known endpoints and the loans last reported
+// by the former dispatchers of its region and of the lending regions. Must
+// hold mu.
+func (c *Controller) fillPool(now time.Time, r *region) {
 	all, _ := c.endpoints.Since(0)
 	for _, e := range all {
 		if c.mayServe(e) {
 			r.pool.Learn(now, e)
 		}
 	}
-	for lender, heard := range c.loans {
-		for _, l := range heard.loans {
+	for lender, reported := range c.loans {
+		for _, l := range reported.loans {
 			switch {
-			case now.Sub(heard.at) > dispatch.LoanTerm:
+			case now.Sub(reported.at) > dispatch.LoanTerm:
 			case lender == r.name:
 				r.pool.Resume(now, l)
 			case l.Borrower == r.name:
@@ -120,22 +127,24 @@
 	}
 }
 
-// mayServe says whether an endpoint may get requests. Must hold mu.
+// mayServe reports whether an endpoint may receive requests: its failure
+// domain isn't evacuated. Must hold mu.
 func (c *Controller) mayServe(e registry.Endpoint) bool {
 	return !slices.Contains(c.state.Evacuated, e.Zone)
 }
 
-// refill adapts the pools to the failure domains that are evacuated now. Must
-// hold mu.
-func (c *Controller) refill() {
+// refillPools updates all pools for the failure domains that are evacuated
+// now. Must hold mu.
+func (c *Controller) refillPools() {
 	all, _ := c.endpoints.Since(0)
 	for _, e := range all {
-		c.toPool(e)
+		c.updatePools(e)
 	}
 }
 
-// toPool tells the pools of an endpoint. Must hold mu.
-func (c *Controller) toPool(e registry.Endpoint) {
+// updatePools adds an endpoint to the pools, or removes it if its failure
+// domain is evacuated. Must hold mu.
+func (c *Controller) updatePools(e registry.Endpoint) {
 	now := c.ports.Clock.Now()
 	for _, r := range c.regions {
 		switch {
@@ -148,11 +157,12 @@
 	}
 }
 
-// wants says whether this controller should dispatch a region: the first live
-// one of the region's own, or of all if it has none. One of the region that has
-// the votes stays; without them it gives way to the first, since two that both
-// stay would halve the votes for good. Must hold mu.
-func (c *Controller) wants(now time.Time, r *region) bool {
+// shouldDispatch reports whether this controller should dispatch a region: the
+// first live controller in the region by the order of lease.Before, or the
+// first of all if the region has none. A controller of the region that holds a
+// majority keeps the region. Without a majority it yields to the first one:
+// two that both stayed would split the votes for good. Must hold mu.
+func (c *Controller) shouldDispatch(now time.Time, r *region) bool {
 	if c.stopping {
 		return false
 	}
@@ -168,12 +178,12 @@
 	return best.Address == c.config.Address
 }
 
-// asks returns the regions that this controller wants, and votes for itself.
-// Must hold mu.
-func (c *Controller) asks(now time.Time) []string {
+// requestedRegions returns the regions that this controller requests the votes
+// for, and gives its own vote. Must hold mu.
+func (c *Controller) requestedRegions(now time.Time) []string {
 	var out []string
 	for name, r := range c.regions {
-		if !c.wants(now, r) {
+		if !c.shouldDispatch(now, r) {
 			continue
 		}
 		r.candidate.Voted(c.config.Address, now, c.ballots.Ask(now, name, c.config.Address))
@@ -182,8 +192,9 @@
 	return out
 }
 
-// drops returns the regions that were given up. Must hold mu.
-func (c *Controller) drops() []string {
+// releasedRegions returns the regions whose votes are to be dropped. Must hold
+// mu.
+func (c *Controller) releasedRegions() []string {
 	var out []string
 	for name, r := range c.regions {
 		if r.resigned {
@@ -193,15 +204,16 @@
 	return out
 }
 
-// dropped notes that all were told. Must hold mu.
-func (c *Controller) dropped() {
+// clearReleased marks the resignations as sent. A peer that missed one keeps
+// its vote until the term ends. Must hold mu.
+func (c *Controller) clearReleased() {
 	for _, r := range c.regions {
 		r.resigned = false
 	}
 }
 
-// held returns the leases that this controller holds. Must hold mu.
-func (c *Controller) held(now time.Time) []port.Lease {
+// heldLeases returns the leases that this controller holds. Must hold mu.
+func (c *Controller) heldLeases(now time.Time) []port.Lease {
 	var out []port.Lease
 	for _, r := range c.regions {
 		if r.pool != nil && r.holder == c.config.Address && now.Before(r.until) {
@@ -211,21 +223,21 @@
 	return out
 }
 
-// heardOf takes the word of a holder. Must hold mu.
-func (c *Controller) heardOf(l port.Lease) {
+// recordLease records a lease reported by its holder. Must hold mu.
+func (c *Controller) recordLease(l port.Lease) {
 	r := c.regions[l.Region]
 	if r == nil {
 		return
 	}
 	if r.holder != l.Holder {
 		r.holder = l.Holder
-		c.wake()
+		c.notifyChanged()
 	}
 	r.until = c.ports.Clock.Now().Add(l.Left)
 }
 
-// dispatchers returns the holders that are known. Must hold mu.
-func (c *Controller) dispatchers(now time.Time) []port.Lease {
+// knownLeases returns the known leases that haven't ended. Must hold mu.
+func (c *Controller) knownLeases(now time.Time) []port.Lease {
 	var out []port.Lease
 	for _, name := range sortedKeys(c.regions) {
 		if r := c.regions[name]; now.Before(r.until) {
@@ -239,15 +251,15 @@
 func (c *Controller) Acquire(ctx context.Context, a port.AskSlot) (dispatch.Decision, error) {
 	decision, wait, err := c.acquire(a)
 	if err != nil || wait == nil {
-		c.decided(a, decision, err)
+		c.recordDecision(a, decision, err)
 		return decision, err
 	}
 	select {
 	case d, ok := <-wait:
 		if !ok {
-			return dispatch.Decision{}, fmt.Errorf("%w: it ended", port.ErrNotDispatcher)
+			return dispatch.Decision{}, fmt.Errorf("%w: its dispatch ended while the request waited", port.ErrNotDispatcher)
 		}
-		c.decided(a, d, nil)
+		c.recordDecision(a, d, nil)
 		return d, nil
 	case <-ctx.Done():
 		c.cancel(a, wait)
@@ -255,13 +267,14 @@
 	}
 }
 
-func (c *Controller) decided(a port.AskSlot, d dispatch.Decision, err error) {
+func (c *Controller) recordDecision(a port.AskSlot, d dispatch.Decision, err error) {
 	if err == nil {
 		c.ports.Meter.Decided(a.Service, string(d.Reason))
 	}
 }
 
-// acquire decides at once, or returns the channel on which the decision comes.
+// acquire decides a request at once, or returns the channel on which the
+// decision is sent.
 func (c *Controller) acquire(a port.AskSlot) (dispatch.Decision, chan dispatch.Decision, error) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
@@ -278,7 +291,8 @@
 	return dispatch.Decision{}, wait, nil
 }
 
-// cancel takes back an ask whose gateway no longer waits.
+// cancel withdraws a slot request whose gateway no longer waits, and releases
+// a slot that was granted meanwhile.
 func (c *Controller) cancel(a port.AskSlot, wait chan dispatch.Decision) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
@@ -298,7 +312,7 @@
 	}
 }
 
-// deliver hands decisions to those that wait for them. Must hold mu.
+// deliver sends decisions to the callers that wait for them. Must hold mu.
 func (c *Controller) deliver(r *region, decisions []dispatch.Decision) {
 	for _, d := range decisions {
 		if wait := r.waiting[d.Ask.ID]; wait != nil {
@@ -321,7 +335,7 @@
 	return nil
 }
 
-// tick ends waits and grants whose time is over.
+// tick ends waits and grants that have timed out.
 func (c *Controller) tick() {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
@@ -330,7 +344,7 @@
 		if r.pool == nil {
 			continue
 		}
-		c.settle(now, r, c.holds(now, r))
+		c.updateDispatch(now, r, c.holds(now, r))
 		if r.pool != nil {
 			c.deliver(r, r.pool.Tick(now))
 		}
--- a/internal/app/controller/dispatch_test.go
+++ b/internal/app/controller/dispatch_test.go
@@ -10,22 +10,22 @@
 	"sassafrasreach/internal/port"
 )
 
-// split cuts the controllers whose zones end with 1 from those that end with 2,
-// or joins them.
-func (c *cluster) split(apart bool) {
+// partition cuts the controllers of zones ending with 1 off from those of
+// zones ending with 2, or reconnects them.
+func (c *cluster) partition(enable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for from := range c.members {
 		for to := range c.members {
 			if from[1] != to[1] {
-				c.cut[[2]string{from, to}] = apart
+				c.blocked[[2]string{from, to}] = enable
 			}
 		}
 	}
 }
 
-// holders returns the controllers that hold a region with the votes of a majority,
-// as each of the others knows.
+// holders counts, for each holder of a region that a controller reports to
+// gateways, the controllers that report it.
 func (c *cluster) holders(region string) map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,17 +46,18 @@
 	return out
 }
 
-// TestSplitVote has both controllers of each region start to dispatch it while
-// they can't reach each other, so that each gets half of the votes. When they can
-// again, one of them gets the votes of all.
+// TestSplitVote guards against a region that stays without a lease holder
+// after a partition. While the two controllers of each region can't reach each
+// other, both start to dispatch it and each gets half of the votes. After the
+// partition ends, all controllers report the same holder.
 func TestSplitVote(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2*time.Millisecond)
 	is.NoErr(c.order(0, 2))
-	c.settled()
-	c.split(true)
+	c.settle()
+	c.partition(true)
 	time.Sleep(4 * time.Second)
-	c.split(false)
+	c.partition(false)
 	time.Sleep(4 * time.Second)
 	for _, region := range []string{"a", "b", "c"} {
 		holders := c.holders(region)
--- a/internal/app/controller/doc.go
+++ b/internal/app/controller/doc.go
@@ -1,7 +1,12 @@
-// Package controller is a controller: a VM with a disk that votes on the state,
-// takes orders of operators and announcements of endpoints, tells gateways what
-// is in force, and dispatches the requests of a region while it holds the
-// region's lease.
+// Package controller implements a controller: a VM with a disk that votes on the
+// configuration state, accepts operators' orders and endpoints' announcements,
+// sends gateways the state in force, and dispatches the requests of a region
+// while it holds the region's lease.
+//
+// A voter is a controller whose disk takes part in the quorum of the current
+// epoch. The coordinator is the live voter with the lowest address: it makes the
+// changes of the register, so that proposers don't collide. The dispatcher of a
+// region grants the slots of the region's endpoints to gateways.
 //
 // Lock order: voter.mu, then Controller.mu. No lock is held during a call to
 // another VM; voter.mu alone is held during a write to the disk.
--- a/internal/app/controller/orders.go
+++ b/internal/app/controller/orders.go
@@ -16,9 +16,10 @@
 const (
 	// orderTimeout bounds the time in which an order is made durable.
 	orderTimeout = 4 * time.Second
-	// passOnTimeout bounds the time that another controller may take for an order.
-	passOnTimeout = 2500 * time.Millisecond
-	// readTimeout bounds the time in which a read is confirmed by a quorum.
+	// forwardTimeout bounds the call that forwards an order to the
+	// coordinator.
+	forwardTimeout = 2500 * time.Millisecond
+	// readTimeout bounds the time in which a quorum confirms a read.
 	readTimeout = 900 * time.Millisecond
 )
 
@@ -48,12 +49,12 @@
 	return slog.String("outcome", err.Error())
 }
 
-// order has an order made durable. One that is in force already succeeds.
+// order makes an order durable. An order that is in force already succeeds.
 func (c *Controller) order(ctx context.Context, o fleet.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	began := c.ports.Clock.Now()
-	reply, err := c.preside(ctx, o)
+	reply, err := c.submit(ctx, o)
 	if err == nil && !errors.Is(reply.Refused, fleet.ErrNoChange) {
 		err = reply.Refused
 	}
@@ -61,15 +62,16 @@
 	return err
 }
 
-// preside passes an order to the controller that presides, so that proposers
-// don't collide; when that one can't be reached, the order is made durable here.
-func (c *Controller) preside(ctx context.Context, o fleet.Order) (port.OrderReply, error) {
+// submit forwards an order to the coordinator, so that proposers don't
+// collide. When the coordinator can't be reached, this controller makes the
+// order durable itself.
+func (c *Controller) submit(ctx context.Context, o fleet.Order) (port.OrderReply, error) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
-	address := c.presiding(now)
+	address := c.coordinator(now)
 	c.mu.Unlock()
 	if address != "" && address != c.config.Address {
-		reply, err := c.passOn(ctx, address, o)
+		reply, err := c.forwardOrder(ctx, address, o)
 		if err == nil {
 			return reply, c.learn(reply.Epoch, reply.Chosen)
 		}
@@ -78,17 +80,18 @@
 	return c.Order(ctx, o)
 }
 
-func (c *Controller) passOn(ctx context.Context, address string, o fleet.Order) (port.OrderReply, error) {
-	peer, err := c.peerAt(address)
+func (c *Controller) forwardOrder(ctx context.Context, address string, o fleet.Order) (port.OrderReply, error) {
+	peer, err := c.linkTo(address)
 	if err != nil {
 		return port.OrderReply{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, passOnTimeout)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	return peer.Order(ctx, o)
 }
 
-// Order implements port.ControllerPeer: it makes an order durable from here.
+// Order implements port.ControllerPeer: it makes an order durable with
+// proposals of this controller.
 func (c *Controller) Order(ctx context.Context, o fleet.Order) (port.OrderReply, error) {
 	value, epoch, err := c.propose(ctx, func(current *quorum.Value) (*quorum.Value, error) {
 		return applyOrder(current, o)
@@ -100,7 +103,7 @@
 	return reply, err
 }
 
-// applyOrder is the Decide of an order.
+// applyOrder is the quorum.Decide function of an order.
 func applyOrder(current *quorum.Value, o fleet.Order) (*quorum.Value, error) {
 	next := &quorum.Value{Sequence: 1}
 	state := &fleet.State{}
@@ -119,7 +122,8 @@
 	return next, err
 }
 
-// Current implements port.Orders: what a quorum confirms after the call began.
+// Current implements port.Orders. It returns a state that a quorum has
+// confirmed since the call began.
 func (c *Controller) Current(ctx context.Context) (*fleet.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -131,7 +135,7 @@
 	if !confirmed.Before(now) {
 		return state, nil
 	}
-	reply, err := c.preside(ctx, fleet.Order{})
+	reply, err := c.submit(ctx, fleet.Order{})
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", port.ErrUnsure, err)
 	}
--- a/internal/app/controller/peers.go
+++ b/internal/app/controller/peers.go
@@ -12,56 +12,60 @@
 	"sassafrasreach/internal/port"
 )
 
-// forgetAfter is how long a controller that is out of reach and doesn't vote is
-// asked for news.
-const forgetAfter = 20 * time.Second
+// peerRetention is how long exchanges with an unreachable controller are
+// attempted if it is neither a voter nor a seed.
+const peerRetention = 20 * time.Second
 
-// peer is another controller.
+// peer is another controller, with its client and the state of the exchanges
+// with it.
 type peer struct {
 	link port.ControllerPeer
 	port.Controller
-	// asked is when the last news that it answered was sent.
-	asked time.Time
-	// epoch and accepted are where its voter stood then.
+	// sentAt is when the last exchange that the peer answered was sent.
+	sentAt time.Time
+	// epoch and accepted are the state of its voter in that answer.
 	epoch    uint64
 	accepted quorum.Ballot
-	// told counts the announcements that it was told of; a peer of a new
-	// incarnation is told all.
-	told uint64
-	// way is the moving average of the time that news and its answer take.
-	way time.Duration
-	// tried is when it first was to be reached without success.
-	tried time.Time
-	busy  bool
-	lost  bool
+	// acked is the value of announceSeq up to which the peer has acknowledged
+	// the announcements; it is 0 for a peer of a new incarnation, which is
+	// sent all endpoints.
+	acked uint64
+	// roundTrip is the moving average of the duration of an exchange.
+	roundTrip time.Duration
+	// addedAt is when this controller first tried to reach it.
+	addedAt  time.Time
+	inFlight bool
+	lost     bool
 }
 
-// wayWeight is the weight of a new sample of a peer's way, as a divisor.
-const wayWeight = 8
+// roundTripWeight is the divisor that weights a new sample of a peer's round
+// trip.
+const roundTripWeight = 8
 
-func (p *peer) noteWay(took time.Duration) {
-	if p.way == 0 {
-		p.way = took
+func (p *peer) recordRoundTrip(took time.Duration) {
+	if p.roundTrip == 0 {
+		p.roundTrip = took
 	}
-	p.way += (took - p.way) / wayWeight
+	p.roundTrip += (took - p.roundTrip) / roundTripWeight
 }
 
-// peerAt returns the way to a controller, this one included.
-func (c *Controller) peerAt(address string) (port.ControllerPeer, error) {
+// linkTo returns a client for a controller, which may be this one.
+func (c *Controller) linkTo(address string) (port.ControllerPeer, error) {
 	if address == c.config.Address {
 		return c, nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p, err := c.meet(address)
+	p, err := c.ensurePeer(address)
 	if err != nil {
 		return nil, err
 	}
 	return p.link, nil
 }
 
-// meet returns the peer at an address. Must hold mu.
-func (c *Controller) meet(address string) (*peer, error) {
+// ensurePeer returns the peer at an address and adds it if it is new. Must
+// hold mu.
+func (c *Controller) ensurePeer(address string) (*peer, error) {
 	if p := c.peers[address]; p != nil {
 		return p, nil
 	}
@@ -69,13 +73,13 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &peer{link: link, tried: c.ports.Clock.Now(), lost: true}
+	p := &peer{link: link, addedAt: c.ports.Clock.Now(), lost: true}
 	p.Address = address
 	c.peers[address] = p
 	return p, nil
 }
 
-// livePeers returns the other controllers that were heard of lately.
+// livePeers returns the addresses of the other controllers that are live.
 func (c *Controller) livePeers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,60 +93,63 @@
 	return out
 }
 
-// exchangeRound tells all controllers the news. It doesn't wait for the answers.
+// exchangeRound starts an exchange with all peers, except those whose last one
+// is still in flight. It doesn't wait for the answers.
 func (c *Controller) exchangeRound(ctx context.Context) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
-	c.meetAll(now)
-	c.settleRegions(now)
-	loads, loans := c.shareOut(now)
+	c.refreshPeers(now)
+	c.updateRegions(now)
+	loads, loans := c.computeShares(now)
 	type sending struct {
-		p    *peer
-		news port.News
-		told uint64
+		p        *peer
+		exchange port.News
+		acked    uint64
 	}
 	var sendings []sending
 	for _, p := range c.peers {
-		if p.busy {
+		if p.inFlight {
 			continue
 		}
-		p.busy = true
-		news := c.news(now, p)
-		news.Loads, news.Loans = loads, loans
-		sendings = append(sendings, sending{p, news, c.heardSeq})
+		p.inFlight = true
+		exchange := c.exchange(now, p)
+		exchange.Loads, exchange.Loans = loads, loans
+		sendings = append(sendings, sending{p, exchange, c.announceSeq})
 	}
-	c.dropped()
+	c.clearReleased()
 	c.forgetEndpoints(now)
 	c.mu.Unlock()
 	for _, s := range sendings {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			_, _ = c.tell(ctx, s.p, s.news, s.told)
+			_, _ = c.sendExchange(ctx, s.p, s.exchange, s.acked)
 		}()
 	}
 }
 
-// meetAll makes peers of all controllers that should be asked, and forgets the
-// others. Must hold mu.
-func (c *Controller) meetAll(now time.Time) {
+// refreshPeers adds the seeds and voters as peers, removes other peers that
+// have been unreachable for peerRetention, and logs peers that became
+// unreachable or reachable again. Must hold mu.
+func (c *Controller) refreshPeers(now time.Time) {
 	wanted := slices.Clone(c.seeds)
 	for _, v := range c.epoch.Voters {
 		wanted = append(wanted, v.Address)
 	}
 	for _, address := range wanted {
 		if address != c.config.Address {
-			// The address is well formed: settings were checked, voters are their own.
-			_, _ = c.meet(address)
+			// The address is well formed: seeds were checked with the
+			// settings, and a voter reports its own.
+			_, _ = c.ensurePeer(address)
 		}
 	}
 	for address, p := range c.peers {
-		if now.Sub(latest(p.Heard, p.tried)) > forgetAfter && !slices.Contains(wanted, address) {
+		if now.Sub(latest(p.Heard, p.addedAt)) > peerRetention && !slices.Contains(wanted, address) {
 			delete(c.peers, address)
 		}
 		if lost := !live(now, p.Heard); lost != p.lost {
 			p.lost = lost
-			c.unsettle(now)
+			c.noteMembershipChange(now)
 			e := event.ControllerFound
 			if lost {
 				e = event.ControllerLost
@@ -160,18 +167,20 @@
 	return b
 }
 
-// news gathers what a peer is to be told. Must hold mu.
-func (c *Controller) news(now time.Time, p *peer) port.News {
+// exchange returns the message for a peer: the endpoints announced here that
+// it hasn't acknowledged, or all endpoints if it has acknowledged none. Must
+// hold mu.
+func (c *Controller) exchange(now time.Time, p *peer) port.News {
 	n := port.News{
-		From: c.self(now), Controllers: c.controllers(now), Gateways: c.ownGateways(now),
-		Asks: c.asks(now), Drops: c.drops(), Whole: p.told == 0,
+		From: c.self(now), Controllers: c.liveControllers(now), Gateways: c.ownGateways(now),
+		Asks: c.requestedRegions(now), Drops: c.releasedRegions(), Whole: p.acked == 0,
 	}
-	if p.told == 0 {
+	if p.acked == 0 {
 		n.Endpoints, _ = c.endpoints.Since(0)
 		return n
 	}
-	for id, seq := range c.heardHere {
-		if seq <= p.told {
+	for id, seq := range c.localAnnounceSeq {
+		if seq <= p.acked {
 			continue
 		}
 		if e, ok := c.endpoints.Get(id); ok {
@@ -181,8 +190,8 @@
 	return n
 }
 
-// controllers returns the controllers that were heard of lately. Must hold mu.
-func (c *Controller) controllers(now time.Time) []port.Controller {
+// liveControllers returns the other controllers that are live. Must hold mu.
+func (c *Controller) liveControllers(now time.Time) []port.Controller {
 	var out []port.Controller
 	for _, p := range c.peers {
 		if live(now, p.Heard) {
@@ -192,42 +201,43 @@
 	return out
 }
 
-// tell sends news to a peer and takes its answer.
-func (c *Controller) tell(ctx context.Context, p *peer, n port.News, told uint64) (port.NewsReply, error) {
-	asked := c.ports.Clock.Now()
+// sendExchange sends a message to a peer and records its answer.
+func (c *Controller) sendExchange(ctx context.Context, p *peer, n port.News, acked uint64) (port.NewsReply, error) {
+	sentAt := c.ports.Clock.Now()
 	reply, err := p.link.Exchange(ctx, n)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p.busy = false
+	p.inFlight = false
 	if err != nil {
 		return reply, err
 	}
 	if p.Incarnation != 0 && p.Incarnation != reply.From.Incarnation {
-		told = 0
+		acked = 0
 	}
 	p.Controller = reply.From
-	p.asked, p.told = asked, told
-	p.noteWay(c.ports.Clock.Now().Sub(asked))
+	p.sentAt, p.acked = sentAt, acked
+	p.recordRoundTrip(c.ports.Clock.Now().Sub(sentAt))
 	p.epoch, p.accepted = reply.Epoch.Number, reply.Accepted
-	c.enter(reply.Epoch)
-	c.hear(reply.Controllers)
+	c.enterEpoch(reply.Epoch)
+	c.addPeers(reply.Controllers)
 	for _, e := range reply.Endpoints {
 		c.learnEndpoint(e)
 	}
 	for name, r := range c.regions {
-		r.candidate.Voted(p.Address, asked, slices.Contains(reply.Grants, name))
+		r.candidate.Voted(p.Address, sentAt, slices.Contains(reply.Grants, name))
 	}
 	for _, l := range reply.Known {
-		c.heardOf(l)
+		c.recordLease(l)
 	}
 	return reply, nil
 }
 
-// hear takes other controllers' word of controllers. Must hold mu.
-func (c *Controller) hear(controllers []port.Controller) {
+// addPeers adds the controllers that another controller reported. Must hold
+// mu.
+func (c *Controller) addPeers(controllers []port.Controller) {
 	for _, other := range controllers {
 		if other.Address != c.config.Address && c.peers[other.Address] == nil {
-			_, _ = c.meet(other.Address)
+			_, _ = c.ensurePeer(other.Address)
 		}
 	}
 }
@@ -235,20 +245,20 @@
 // Exchange implements port.ControllerPeer.
 func (c *Controller) Exchange(_ context.Context, n port.News) (port.NewsReply, error) {
 	now := c.ports.Clock.Now()
-	standing := c.voter.standing()
+	savedState := c.voter.savedState()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hear(append(n.Controllers, n.From))
+	c.addPeers(append(n.Controllers, n.From))
 	for _, g := range n.Gateways {
 		c.learnGateway(g)
 	}
 	for _, e := range n.Endpoints {
 		c.learnEndpoint(e)
 	}
-	c.hearShares(now, n)
+	c.recordShares(now, n)
 	reply := port.NewsReply{
-		From: c.self(now), Epoch: standing.Epoch, Accepted: standing.Accepted.Ballot,
-		Controllers: c.controllers(now), Known: c.held(now),
+		From: c.self(now), Epoch: savedState.Epoch, Accepted: savedState.Accepted.Ballot,
+		Controllers: c.liveControllers(now), Known: c.heldLeases(now),
 	}
 	for _, name := range n.Drops {
 		c.ballots.Drop(name, n.From.Address)
@@ -264,22 +274,23 @@
 	return reply, nil
 }
 
-// pollVoters asks all voters where they stand, until a majority has answered.
+// pollVoters requests the voting state of the other voters, until as many have
+// answered as a majority needs or all calls have ended.
 func (c *Controller) pollVoters(ctx context.Context) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
 	epoch := c.epoch
 	from := c.self(now)
-	var asked []*peer
+	var polled []*peer
 	for _, v := range epoch.Voters {
 		if p := c.peers[v.Address]; p != nil {
-			asked = append(asked, p)
+			polled = append(polled, p)
 		}
 	}
 	c.mu.Unlock()
 	var group sync.WaitGroup
-	answered := make(chan struct{}, len(asked))
-	for _, p := range asked {
+	answered := make(chan struct{}, len(polled))
+	for _, p := range polled {
 		group.Go(func() {
 			_, err := c.poll(ctx, p, from)
 			if err == nil {
@@ -300,17 +311,17 @@
 	}
 }
 
-// poll asks one voter where it stands.
+// poll requests the voting state of one voter.
 func (c *Controller) poll(ctx context.Context, p *peer, from port.Controller) (port.NewsReply, error) {
-	asked := c.ports.Clock.Now()
+	sentAt := c.ports.Clock.Now()
 	reply, err := p.link.Exchange(ctx, port.News{From: from})
 	if err != nil {
 		return reply, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if asked.After(p.asked) {
-		p.asked, p.epoch, p.accepted = asked, reply.Epoch.Number, reply.Accepted
+	if sentAt.After(p.sentAt) {
+		p.sentAt, p.epoch, p.accepted = sentAt, reply.Epoch.Number, reply.Accepted
 		p.Controller = reply.From
 	}
 	return reply, nil
--- a/internal/app/controller/propose.go
+++ b/internal/app/controller/propose.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// collisionPause spreads proposers that got in each other's way; a round over
+	// collisionBackoff spreads proposers whose ballots collided; a round over
 	// a long link takes about as long.
-	collisionPause = 60 * time.Millisecond
-	// maxCollisions bounds how far the pause grows.
-	maxCollisions = 5
+	collisionBackoff = 60 * time.Millisecond
+	// maxBackoffSteps bounds how far the backoff grows.
+	maxBackoffSteps = 5
 )
 
 // Prepare implements port.ControllerPeer.
@@ -36,7 +36,7 @@
 // Learn implements port.ControllerPeer.
 func (c *Controller) Learn(_ context.Context, epoch quorum.Epoch, chosen quorum.Accepted) error {
 	if chosen.Value == nil {
-		s := c.voter.standing()
+		s := c.voter.savedState()
 		if s.Epoch.Number != epoch.Number || s.Accepted.Ballot != chosen.Ballot {
 			return errValueMissing
 		}
@@ -45,15 +45,15 @@
 	return c.learn(epoch, chosen)
 }
 
-// learn takes over a value that was chosen.
+// learn records a value that was chosen and decodes its state.
 func (c *Controller) learn(epoch quorum.Epoch, chosen quorum.Accepted) error {
 	if chosen.Value == nil {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.enter(epoch)
-	if epoch.Number < c.chosenIn || epoch.Number == c.chosenIn && !c.chosen.Ballot.Less(chosen.Ballot) {
+	c.enterEpoch(epoch)
+	if epoch.Number < c.chosenEpoch || epoch.Number == c.chosenEpoch && !c.chosen.Ballot.Less(chosen.Ballot) {
 		return nil
 	}
 	if c.chosen.Value == nil || chosen.Value.Sequence > c.chosen.Value.Sequence {
@@ -62,18 +62,18 @@
 			return err
 		}
 		c.state = state
-		c.refill()
+		c.refillPools()
 		event.Log(context.Background(), c.ports.Logger, event.StateLearned,
 			slog.Uint64("sequence", chosen.Value.Sequence), slog.Uint64("version", state.Config.Version),
 			slog.Any("evacuated", state.Evacuated), slog.Uint64("epoch", epoch.Number))
 	}
-	c.chosen, c.chosenIn = chosen, epoch.Number
-	c.wake()
+	c.chosen, c.chosenEpoch = chosen, epoch.Number
+	c.notifyChanged()
 	return nil
 }
 
-// enter takes note of a later epoch. Must hold mu.
-func (c *Controller) enter(epoch quorum.Epoch) {
+// enterEpoch records a later epoch. Must hold mu.
+func (c *Controller) enterEpoch(epoch quorum.Epoch) {
 	if epoch.Number <= c.epoch.Number {
 		return
 	}
@@ -83,14 +83,14 @@
 }
 
 // propose makes a change durable and returns the value after it and its epoch.
-// The error wraps port.ErrUnsure, or is of decide. Proposals of this controller
-// go one after the other.
+// The error wraps port.ErrUnsure or is the one that decide returned. Proposals
+// of this controller run one at a time.
 func (c *Controller) propose(ctx context.Context, decide quorum.Decide) (quorum.Accepted, quorum.Epoch, error) {
 	select {
 	case c.proposing <- struct{}{}:
 		defer func() { <-c.proposing }()
 	case <-ctx.Done():
-		return quorum.Accepted{}, quorum.Epoch{}, fmt.Errorf("%w: other proposals took the time", port.ErrUnsure)
+		return quorum.Accepted{}, quorum.Epoch{}, fmt.Errorf("%w: timed out behind other proposals of this controller", port.ErrUnsure)
 	}
 	for collisions := 0; ; collisions++ {
 		epoch, ballot, seed, have := c.nextBallot()
@@ -98,71 +98,74 @@
 		if done {
 			return value, epoch, err
 		}
-		if !wait.For(ctx, jitter(collisionPause*time.Duration(min(collisions, maxCollisions)+1))) {
-			return quorum.Accepted{}, quorum.Epoch{}, fmt.Errorf("%w after %d attempts", port.ErrUnsure, collisions+1)
+		if !wait.For(ctx, jitter(collisionBackoff*time.Duration(min(collisions, maxBackoffSteps)+1))) {
+			return quorum.Accepted{}, quorum.Epoch{}, fmt.Errorf("%w: %d attempts failed", port.ErrUnsure, collisions+1)
 		}
 	}
 }
 
-// attempt runs one attempt; it isn't done when another one is to follow.
+// attempt runs one attempt; done is false when another one has to follow.
 func (c *Controller) attempt(ctx context.Context, epoch quorum.Epoch, a *quorum.Attempt) (done bool, value quorum.Accepted, err error) {
 	if epoch.Number == 0 {
 		return false, quorum.Accepted{}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	c.run(ctx, epoch, a)
+	c.runAttempt(ctx, epoch, a)
 	c.observe(epoch.Number, a)
 	switch a.Phase() {
 	case quorum.Declined:
 		return true, quorum.Accepted{}, a.Err()
 	case quorum.Chosen:
-		c.announce(epoch, a.Result())
+		c.announceChosen(epoch, a.Result())
 		return !a.Kept(), a.Result(), a.Err()
 	default:
 		return false, quorum.Accepted{}, nil
 	}
 }
 
-// nextBallot returns where the next attempt is to be made.
+// nextBallot returns the epoch, ballot and known values of the next attempt.
 func (c *Controller) nextBallot() (epoch quorum.Epoch, ballot quorum.Ballot, seed *quorum.Value, have quorum.Accepted) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.round++
 	ballot = quorum.Ballot{Round: c.round, Proposer: fmt.Sprintf("%s/%d", c.config.Address, c.incarnation)}
-	if c.chosenIn == c.epoch.Number {
+	if c.chosenEpoch == c.epoch.Number {
 		return c.epoch, ballot, c.chosen.Value, c.chosen
 	}
-	if c.seedIn == c.epoch.Number {
+	if c.seedEpoch == c.epoch.Number {
 		return c.epoch, ballot, c.seed, quorum.Accepted{}
 	}
 	return c.epoch, ballot, nil, quorum.Accepted{}
 }
 
-// observe takes note of what an attempt has heard.
+// observe records the ballots, seed and epoch that an attempt's answers
+// contained.
 func (c *Controller) observe(epoch uint64, a *quorum.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.round = max(c.round, a.Seen().Round)
-	if seed := a.Seed(); seed != nil && epoch >= c.seedIn {
-		c.seed, c.seedIn = seed, epoch
+	if seed := a.Seed(); seed != nil && epoch >= c.seedEpoch {
+		c.seed, c.seedEpoch = seed, epoch
 	}
-	c.enter(a.Newer())
+	c.enterEpoch(a.Newer())
 }
 
-// answer is one voter's answer in an attempt.
+// answer is one voter's answer in an attempt; it is empty when the call
+// failed.
 type answer struct {
 	from    string
 	promise *quorum.Promise
 	refusal *quorum.Refusal
 }
 
-// run sends the attempt's messages until it has ended one way or another.
-func (c *Controller) run(ctx context.Context, epoch quorum.Epoch, a *quorum.Attempt) {
+// runAttempt sends the attempt's messages until it is chosen, outdated or
+// declined, no more answers will come, or ctx ends.
+func (c *Controller) runAttempt(ctx context.Context, epoch quorum.Epoch, a *quorum.Attempt) {
 	answers := make(chan answer, 2*len(epoch.Voters))
-	left := c.ask(epoch, answers, func(p port.ControllerPeer, to string) (answer, error) {
+	left := c.broadcast(epoch, answers, func(p port.ControllerPeer, to string) (answer, error) {
 		m := a.Prepare(to)
-		if c.entered(to, epoch) {
+		if c.hasEntered(to, epoch) {
 			m.Seed = nil
 		}
 		promise, err := p.Prepare(ctx, m)
@@ -178,7 +181,7 @@
 		}
 		switch {
 		case got.promise != nil && a.Promise(got.from, *got.promise):
-			left += c.ask(epoch, answers, func(p port.ControllerPeer, to string) (answer, error) {
+			left += c.broadcast(epoch, answers, func(p port.ControllerPeer, to string) (answer, error) {
 				refusal, err := p.Accept(ctx, a.Accept(to))
 				return answer{from: to, refusal: refusal}, err
 			})
@@ -191,11 +194,11 @@
 	}
 }
 
-// entered says whether a voter is known to have entered an epoch, so that it
-// needs no first value.
-func (c *Controller) entered(disk string, epoch quorum.Epoch) bool {
+// hasEntered reports whether a voter is known to have entered an epoch, so
+// that it needs no seed.
+func (c *Controller) hasEntered(disk string, epoch quorum.Epoch) bool {
 	if disk == c.voter.id {
-		return c.voter.standing().Epoch.Number == epoch.Number
+		return c.voter.savedState().Epoch.Number == epoch.Number
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,11 +210,11 @@
 	return false
 }
 
-// ask sends a message to each voter and returns how many answers will come; a
-// failed call's answer is empty.
-func (c *Controller) ask(epoch quorum.Epoch, answers chan<- answer, send func(p port.ControllerPeer, to string) (answer, error)) int {
+// broadcast sends a message to each voter and returns the number of answers
+// that will come; a failed call yields an empty answer.
+func (c *Controller) broadcast(epoch quorum.Epoch, answers chan<- answer, send func(p port.ControllerPeer, to string) (answer, error)) int {
 	for _, v := range epoch.Voters {
-		peer, err := c.peerAt(v.Address)
+		peer, err := c.linkTo(v.Address)
 		go func() {
 			if err != nil {
 				answers <- answer{}
@@ -227,18 +230,18 @@
 	return len(epoch.Voters)
 }
 
-// announce tells all controllers of a chosen value, and of the epoch that it
-// opens.
-func (c *Controller) announce(epoch quorum.Epoch, chosen quorum.Accepted) {
+// announceChosen sends a chosen value to all live controllers. A value that
+// seals the epoch opens the next one here instead.
+func (c *Controller) announceChosen(epoch quorum.Epoch, chosen quorum.Accepted) {
 	if next, seed, sealed := quorum.Following(epoch, chosen.Value); sealed {
-		c.open(epoch, next, seed, chosen)
+		c.openEpoch(epoch, next, seed, chosen)
 		return
 	}
 	if err := c.learn(epoch, chosen); err != nil {
 		event.Log(context.Background(), c.ports.Logger, event.StateUnreadable, slog.Any("error", err))
 	}
 	for _, address := range c.livePeers() {
-		peer, err := c.peerAt(address)
+		peer, err := c.linkTo(address)
 		if err != nil {
 			continue
 		}
@@ -249,37 +252,37 @@
 			if votes && peer.Learn(ctx, epoch, quorum.Accepted{Ballot: chosen.Ballot}) == nil {
 				return
 			}
-			// A controller that misses it finds out by the next round of news.
+			// A controller that misses it detects that by the next exchange.
 			_ = peer.Learn(ctx, epoch, chosen)
 		}()
 	}
 }
 
-// open makes the next epoch known here with its first value; the next attempt
-// brings it to its voters.
-func (c *Controller) open(epoch, next quorum.Epoch, seed *quorum.Value, sealed quorum.Accepted) {
+// openEpoch records the next epoch and its first value here; the next attempt
+// sends them to the voters.
+func (c *Controller) openEpoch(epoch, next quorum.Epoch, seed *quorum.Value, sealed quorum.Accepted) {
 	if err := c.learn(epoch, sealed); err != nil {
 		event.Log(context.Background(), c.ports.Logger, event.StateUnreadable, slog.Any("error", err))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.enter(next)
-	if c.chosenIn < next.Number {
-		c.chosen, c.chosenIn = quorum.Accepted{Value: seed}, next.Number
+	c.enterEpoch(next)
+	if c.chosenEpoch < next.Number {
+		c.chosen, c.chosenEpoch = quorum.Accepted{Value: seed}, next.Number
 	}
 }
 
-// keep is the Decide of a read.
-func keep(current *quorum.Value) (*quorum.Value, error) {
+// keepValue is the quorum.Decide function of a read.
+func keepValue(current *quorum.Value) (*quorum.Value, error) {
 	if current == nil {
-		return nil, errEmpty
+		return nil, errRegisterEmpty
 	}
 	return current, nil
 }
 
-// errValueMissing means that a controller was told of a choice whose value it
-// hasn't accepted.
-var errValueMissing = errors.New("chosen value is missing here")
+// errValueMissing means that a value was reported as chosen by its ballot
+// alone to a controller that hasn't accepted it.
+var errValueMissing = errors.New("value of the chosen ballot was not accepted by this controller")
 
-// errEmpty means that nothing was ever accepted.
-var errEmpty = errors.New("register is empty")
+// errRegisterEmpty means that no value was ever accepted.
+var errRegisterEmpty = errors.New("register is empty")
--- a/internal/app/controller/shares.go
+++ b/internal/app/controller/shares.go
@@ -13,29 +13,29 @@
 	"sassafrasreach/internal/port"
 )
 
-// heardLoans is what a region's dispatcher last said that it lends.
-type heardLoans struct {
+// reportedLoans are the loans that a region's dispatcher last reported.
+type reportedLoans struct {
 	loans []dispatch.Loan
 	at    time.Time
 }
 
 type loadKey struct{ region, service string }
 
-// heardLoad is what a region's requests for a service were last said to need.
-type heardLoad struct {
+// reportedLoad is the last reported need of a region's requests for a service.
+type reportedLoad struct {
 	dispatch.Load
 	at time.Time
 }
 
-// shareOut works out what the regions that this controller dispatches need and
-// lend. Must hold mu.
-func (c *Controller) shareOut(now time.Time) (loads []dispatch.Load, loans []dispatch.Loan) {
+// computeShares returns the loads and loans of the regions that this
+// controller dispatches. Must hold mu.
+func (c *Controller) computeShares(now time.Time) (loads []dispatch.Load, loans []dispatch.Loan) {
 	for _, name := range sortedKeys(c.regions) {
 		if r := c.regions[name]; r.pool != nil {
-			loads = append(loads, r.pool.Loads(now, c.gatewaysOf(now, name))...)
+			loads = append(loads, r.pool.Loads(now, c.countGateways(now, name))...)
 		}
 	}
-	c.hearLoads(now, loads)
+	c.recordLoads(now, loads)
 	var known []dispatch.Load
 	for key, l := range c.loads {
 		if !live(now, l.at) {
@@ -48,15 +48,15 @@
 		if r := c.regions[name]; r.pool != nil {
 			own := r.pool.Lend(now, known)
 			c.logLoans(name, own)
-			c.hearLoans(now, name, own)
+			c.recordLoans(now, name, own)
 			loans = append(loans, own...)
 		}
 	}
 	return loads, loans
 }
 
-// logLoans tells of loans of a region that differ in number from before. Must hold
-// mu.
+// logLoans logs the loans of a region whose number of endpoints has changed.
+// Must hold mu.
 func (c *Controller) logLoans(lender string, loans []dispatch.Loan) {
 	before, after := make(map[string]int), make(map[string]int)
 	for _, l := range c.loans[lender].loans {
@@ -69,13 +69,14 @@
 		if before[borrower] != after[borrower] {
 			event.Log(context.Background(), c.ports.Logger, event.LoansChanged, slog.String("lender", lender),
 				slog.String("borrower", borrower), slog.Int("endpoints", after[borrower]), slog.Int("before", before[borrower]),
-				slog.String("lender_load", c.loadText(lender)), slog.String("borrower_load", c.loadText(borrower)))
+				slog.String("lender_load", c.describeLoad(lender)), slog.String("borrower_load", c.describeLoad(borrower)))
 		}
 	}
 }
 
-// loadText tells what a region's requests need and have, by service. Must hold mu.
-func (c *Controller) loadText(region string) string {
+// describeLoad returns the slots that a region's requests need and those that
+// it has, by service. Must hold mu.
+func (c *Controller) describeLoad(region string) string {
 	var out []string
 	for key, l := range c.loads {
 		if key.region == region {
@@ -86,8 +87,8 @@
 	return strings.Join(out, " ")
 }
 
-// gatewaysOf counts the live gateways of a region. Must hold mu.
-func (c *Controller) gatewaysOf(now time.Time, region string) int {
+// countGateways counts the live gateways of a region. Must hold mu.
+func (c *Controller) countGateways(now time.Time, region string) int {
 	n := 0
 	for _, g := range c.gateways {
 		if g.Region == region && live(now, g.Heard) {
@@ -97,16 +98,17 @@
 	return n
 }
 
-// hearLoads takes what regions need. Must hold mu.
-func (c *Controller) hearLoads(now time.Time, loads []dispatch.Load) {
+// recordLoads records the reported loads of regions. Must hold mu.
+func (c *Controller) recordLoads(now time.Time, loads []dispatch.Load) {
 	for _, l := range loads {
-		c.loads[loadKey{l.Region, l.Service}] = heardLoad{l, now}
+		c.loads[loadKey{l.Region, l.Service}] = reportedLoad{l, now}
 	}
 }
 
-// hearLoans takes a dispatcher's word of what its region lends. Must hold mu.
-func (c *Controller) hearLoans(now time.Time, lender string, loans []dispatch.Loan) {
-	c.loans[lender] = heardLoans{loans, now}
+// recordLoans records the loans reported by a region's dispatcher and updates
+// the pools that borrow or no longer borrow from it. Must hold mu.
+func (c *Controller) recordLoans(now time.Time, lender string, loans []dispatch.Loan) {
+	c.loans[lender] = reportedLoans{loans, now}
 	for _, r := range c.regions {
 		if r.pool == nil || r.name == lender {
 			continue
@@ -121,10 +123,10 @@
 	}
 }
 
-// hearShares takes what another controller says of the regions that it
-// dispatches. Must hold mu.
-func (c *Controller) hearShares(now time.Time, n port.News) {
-	c.hearLoads(now, n.Loads)
+// recordShares records the loads and loans that another controller reported of
+// the regions that it dispatches. Must hold mu.
+func (c *Controller) recordShares(now time.Time, n port.News) {
+	c.recordLoads(now, n.Loads)
 	lenders := make(map[string][]dispatch.Loan)
 	for _, l := range n.Loads {
 		lenders[l.Region] = nil
@@ -133,17 +135,17 @@
 		lenders[l.Lender] = append(lenders[l.Lender], l)
 	}
 	for lender, loans := range lenders {
-		c.hearLoans(now, lender, loans)
+		c.recordLoans(now, lender, loans)
 	}
 }
 
-// way is the time that a message to a region and its answer take; 0 if none is
-// known. Must hold mu.
-func (c *Controller) way(region string) time.Duration {
+// roundTrip returns the shortest round trip to a controller of a region; 0
+// if none is known. Must hold mu.
+func (c *Controller) roundTrip(region string) time.Duration {
 	least := time.Duration(0)
 	for _, p := range c.peers {
-		if p.Region == region && p.way > 0 && (least == 0 || p.way < least) {
-			least = p.way
+		if p.Region == region && p.roundTrip > 0 && (least == 0 || p.roundTrip < least) {
+			least = p.roundTrip
 		}
 	}
 	return least
--- a/internal/app/controller/voter.go
+++ b/internal/app/controller/voter.go
@@ -9,7 +9,7 @@
 	"sassafrasreach/internal/core/quorum"
 )
 
-// voter is the acceptor on this controller's disk.
+// voter is the acceptor whose state is on this controller's disk.
 type voter struct {
 	id    string
 	store interface{ Save(quorum.State) error }
@@ -18,14 +18,14 @@
 	mu       sync.Mutex
 	acceptor *quorum.Acceptor
 
-	// seen guards last, the state as of the last save, which can be read while
-	// the disk is written.
-	seen sync.Mutex
-	last quorum.State
+	// savedMu guards saved, the state as of the last save, which can be read
+	// while the disk is written.
+	savedMu sync.Mutex
+	saved   quorum.State
 }
 
-// newVoter goes on from the disk, or gives an empty disk its ID. Only a seed in
-// a system that starts for the first time is a founder.
+// newVoter resumes from the state on the disk, or gives an empty disk its ID.
+// Only a seed of a system that starts for the first time gets a founder's ID.
 func newVoter(config Config, ports Ports) (*voter, error) {
 	state, found, err := ports.Store.Load()
 	if err != nil {
@@ -40,18 +40,18 @@
 			return nil, fmt.Errorf("save first state: %w", err)
 		}
 	}
-	return &voter{id: state.ID, store: ports.Store, acceptor: quorum.NewAcceptor(state), last: state}, nil
+	return &voter{id: state.ID, store: ports.Store, acceptor: quorum.NewAcceptor(state), saved: state}, nil
 }
 
-// standing returns the state as of the last save.
-func (v *voter) standing() quorum.State {
-	v.seen.Lock()
-	defer v.seen.Unlock()
-	return v.last
+// savedState returns the state as of the last save.
+func (v *voter) savedState() quorum.State {
+	v.savedMu.Lock()
+	defer v.savedMu.Unlock()
+	return v.saved
 }
 
-// vote lets the acceptor answer and makes its state durable before the answer
-// counts. After an error of the disk the acceptor is as it was.
+// vote lets the acceptor answer and saves its changed state before the answer
+// is returned. When the save fails, the acceptor is restored.
 func vote[A any](v *voter, answer func(*quorum.Acceptor) (A, bool)) (A, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -66,8 +66,8 @@
 		var none A
 		return none, fmt.Errorf("save vote: %w", err)
 	}
-	v.seen.Lock()
-	v.last = after
-	v.seen.Unlock()
+	v.savedMu.Lock()
+	v.saved = after
+	v.savedMu.Unlock()
 	return out, nil
 }
--- a/internal/app/controller/voters.go
+++ b/internal/app/controller/voters.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// replaceAfter is how long a voter has to be out of reach before a controller
-	// that doesn't vote yet takes its seat: longer than a restart, shorter than
-	// the time until another voter may be lost.
+	// replaceAfter is how long a voter has to be unreachable before a
+	// controller that doesn't vote replaces it: longer than a restart, shorter
+	// than the time until another voter may be lost.
 	replaceAfter = 2 * time.Second
-	// retireAfter is how long a voter has to be out of reach before it loses its
-	// seat without a successor.
+	// retireAfter is how long a voter has to be unreachable before it is
+	// removed without a replacement.
 	retireAfter = 12 * time.Second
-	// fewestVoters is the number below which no voter is retired.
-	fewestVoters = 3
-	// mostVoters bounds the voters of an epoch: what more would add to safety,
-	// each order pays for.
-	mostVoters = 9
-	// seatTimeout bounds a change of voters.
-	seatTimeout = 3 * time.Second
+	// minVoters is the number of voters at which none is removed without a
+	// replacement.
+	minVoters = 3
+	// maxVoters bounds the voters of an epoch: each further one adds little
+	// safety and slows every order.
+	maxVoters = 9
+	// reconfigureTimeout bounds a change of the voters.
+	reconfigureTimeout = 3 * time.Second
 )
 
-// keepVoters changes the voters when the live controllers aren't those that
-// vote. The first live voter by address does it; another one that believes the
-// same only collides.
-func (c *Controller) keepVoters(ctx context.Context) {
+// updateVoters changes the voters when they differ from the live controllers.
+// The coordinator does it; if another controller takes itself for the
+// coordinator too, their ballots collide, which is safe.
+func (c *Controller) updateVoters(ctx context.Context) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
 	voters := c.wantedVoters(now)
@@ -39,7 +40,7 @@
 	if voters == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, seatTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reconfigureTimeout)
 	defer cancel()
 	_, _, err := c.propose(ctx, func(current *quorum.Value) (*quorum.Value, error) {
 		if current == nil {
@@ -50,33 +51,33 @@
 	event.Log(ctx, c.ports.Logger, event.VotersChanged, slog.Uint64("epoch", epoch.Number),
 		slog.Any("voters", voters), errAttr(err))
 	if err == nil {
-		// The first value of the new epoch has to reach its voters.
-		_, _, _ = c.propose(ctx, keep)
+		// The first value of the new epoch has to be sent to its voters.
+		_, _, _ = c.propose(ctx, keepValue)
 	}
 }
 
-// wantedVoters returns the voters that the epoch should have, or nil if it has
-// them or this controller isn't the one to change them. Must hold mu.
+// wantedVoters returns the voters that the epoch should have; nil if it has
+// them or this controller isn't the coordinator. Must hold mu.
 func (c *Controller) wantedVoters(now time.Time) []quorum.Voter {
-	if c.stopping || c.presiding(now) != c.config.Address {
+	if c.stopping || c.coordinator(now) != c.config.Address {
 		return nil
 	}
 	voters := slices.Clone(c.epoch.Voters)
 	changed := false
 	for _, p := range c.candidates(now) {
-		seat := c.seatFor(now, voters, p)
+		index := c.replaceable(now, voters, p)
 		switch {
-		case seat >= 0:
-			voters[seat] = p
+		case index >= 0:
+			voters[index] = p
 			changed = true
-		case len(voters) < mostVoters:
+		case len(voters) < maxVoters:
 			voters = append(voters, p)
 			changed = true
 		}
 	}
-	if !changed && len(voters) > fewestVoters {
+	if !changed && len(voters) > minVoters {
 		for i, v := range voters {
-			if c.silence(now, v) > retireAfter {
+			if c.unreachableFor(now, v) > retireAfter {
 				return slices.Delete(voters, i, i+1)
 			}
 		}
@@ -87,12 +88,12 @@
 	return voters
 }
 
-// presiding returns the address of the first live voter, which makes changes of
-// the register; empty without a live majority. Must hold mu.
-func (c *Controller) presiding(now time.Time) string {
+// coordinator returns the address of the first live voter, which makes the
+// changes of the register; empty without a live majority. Must hold mu.
+func (c *Controller) coordinator(now time.Time) string {
 	first, alive := "", 0
 	for _, v := range c.epoch.Voters {
-		if c.silence(now, v) >= silentAfter {
+		if c.unreachableFor(now, v) >= livenessTimeout {
 			continue
 		}
 		alive++
@@ -106,7 +107,8 @@
 	return first
 }
 
-// candidates returns the disks of live controllers that don't vote. Must hold mu.
+// candidates returns the disks of live controllers that don't vote. Must hold
+// mu.
 func (c *Controller) candidates(now time.Time) []quorum.Voter {
 	var out []quorum.Voter
 	for _, address := range sortedKeys(c.peers) {
@@ -118,25 +120,27 @@
 	return out
 }
 
-// seatFor returns the seat that a disk takes over: the one at its address, whose
-// disk was lost, or one that has been silent for long; -1 if there is none. Must
-// hold mu.
-func (c *Controller) seatFor(now time.Time, voters []quorum.Voter, candidate quorum.Voter) int {
+// replaceable returns the index of the voter that a candidate replaces: the
+// one at its address, whose disk was lost, or one that has been unreachable
+// for replaceAfter; -1 if there is none. Must hold mu.
+func (c *Controller) replaceable(now time.Time, voters []quorum.Voter, candidate quorum.Voter) int {
 	for i, v := range voters {
 		if v.Address == candidate.Address {
 			return i
 		}
 	}
 	for i, v := range voters {
-		if c.epoch.Has(v.ID) && c.silence(now, v) > replaceAfter {
+		if c.epoch.Has(v.ID) && c.unreachableFor(now, v) > replaceAfter {
 			return i
 		}
 	}
 	return -1
 }
 
-// silence is how long a voter's disk hasn't been heard of. Must hold mu.
-func (c *Controller) silence(now time.Time, v quorum.Voter) time.Duration {
+// unreachableFor returns how long a voter's disk has been unreachable. A voter
+// that is no peer, or whose address has another disk now, counts as lost. Must
+// hold mu.
+func (c *Controller) unreachableFor(now time.Time, v quorum.Voter) time.Duration {
 	if v.ID == c.voter.id {
 		return 0
 	}
@@ -145,7 +149,7 @@
 		return retireAfter + 1
 	}
 	if p.Disk == "" {
-		return now.Sub(p.tried)
+		return now.Sub(p.addedAt)
 	}
 	return now.Sub(p.Heard)
 }
--- a/internal/app/controller/watch.go
+++ b/internal/app/controller/watch.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// watchHold is the longest time that a gateway's call waits for news: a gateway
-	// is silent after a few of them.
+	// watchHold is the longest time that a gateway's call waits for a change.
+	// A gateway that misses a few of these calls counts as unreachable.
 	watchHold = 400 * time.Millisecond
-	// gatewayMemory is how long a silent gateway is remembered.
-	gatewayMemory = 10 * time.Second
+	// gatewayRetention is how long an unreachable gateway is remembered.
+	gatewayRetention = 10 * time.Second
 )
 
 // Watch implements port.ControllerLink.
@@ -39,15 +39,15 @@
 	return c.update(since), nil
 }
 
-// update returns what is new since a cursor. Must hold mu.
+// update returns the changes since a cursor. Must hold mu.
 func (c *Controller) update(since port.WatchCursor) port.Update {
 	now := c.ports.Clock.Now()
 	if since.Incarnation != c.incarnation {
 		since = port.WatchCursor{Incarnation: c.incarnation}
 	}
 	u := port.Update{
-		Confirmed: c.confirmed(now), Dispatchers: c.dispatchers(now),
-		Controllers: append(c.controllers(now), c.self(now)), Cursor: since,
+		Confirmed: c.confirmed(now), Dispatchers: c.knownLeases(now),
+		Controllers: append(c.liveControllers(now), c.self(now)), Cursor: since,
 	}
 	if c.chosen.Value != nil {
 		u.Sequence = c.chosen.Value.Sequence
@@ -59,7 +59,8 @@
 	return u
 }
 
-// learnGateway must hold mu.
+// learnGateway records a gateway unless a later report of it is known. Must
+// hold mu.
 func (c *Controller) learnGateway(g port.Gateway) {
 	old, known := c.gateways[g.Address]
 	if known && (old.Incarnation > g.Incarnation || old.Incarnation == g.Incarnation && old.Heard.After(g.Heard)) {
@@ -79,18 +80,19 @@
 		out = append(out, c.gateways[address])
 	}
 	for address, g := range c.gateways {
-		if now.Sub(g.Heard) > gatewayMemory {
+		if now.Sub(g.Heard) > gatewayRetention {
 			delete(c.gateways, address)
 		}
 	}
 	return out
 }
 
-// maxNamed bounds the gateways that an answer names.
-const maxNamed = 64
+// maxGatewaysReturned bounds the gateways that an answer of Nearest names.
+const maxGatewaysReturned = 64
 
-// Nearest returns the addresses of the ready gateways of a failure domain, else
-// of its region, else of all. It is empty when none is known to live.
+// Nearest returns the addresses of the live, ready gateways of a failure
+// domain, else of its region, else of all. It is empty when no such gateway is
+// known.
 func (c *Controller) Nearest(zone, region string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +111,7 @@
 		}
 		if len(out) > 0 {
 			slices.Sort(out)
-			return out[:min(len(out), maxNamed)]
+			return out[:min(len(out), maxGatewaysReturned)]
 		}
 	}
 	return nil
