--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -12,7 +12,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// Config is what a gateway is told at its start.
+// Config holds the settings that a gateway is started with.
 type Config struct {
 	Name string
 	// Address is the IP:port where it serves clients.
@@ -22,13 +22,13 @@
 	Seeds []string
 }
 
-// Ports are what a gateway needs of the outside.
+// Ports are the external dependencies of a gateway.
 type Ports struct {
 	Clock     port.Clock
 	Logger    *slog.Logger
 	Endpoints port.EndpointCaller
 	Meter     port.FleetMeter
-	// Dial returns the way to a controller.
+	// Dial returns a client for a controller.
 	Dial func(address string) (port.ControllerLink, error)
 }
 
@@ -42,28 +42,32 @@
 	inFlight    atomic.Int64
 	table       atomic.Pointer[fleet.Table]
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	seeds    []string
 	sequence uint64
-	// newest is the latest state that a controller told of, since a moment.
+	// newest is the sequence of the latest state that a controller reported;
+	// newestSince is when that was first reported.
 	newest      uint64
 	newestSince time.Time
 	links       map[string]port.ControllerLink
 	known       map[string]port.Controller
-	avoid       map[string]time.Time
-	// deaf holds until when a controller that didn't answer isn't asked for slots.
-	deaf map[string]time.Time
-	// late counts the asks in a row that a controller hasn't answered in time.
-	late map[string]int
-	// served remembers which endpoint last served an object.
-	served   map[string]string
-	watching [watchers]string
-	regions  map[string]dispatcher
-	releases map[string]*outbox
+	avoidUntil  map[string]time.Time
+	// skipUntil is until when no slots are requested from an unresponsive
+	// controller.
+	skipUntil map[string]time.Time
+	// timeouts counts the consecutive slot requests that timed out at a
+	// controller.
+	timeouts map[string]int
+	// lastEndpoint maps an object to the endpoint that last served it.
+	lastEndpoint  map[string]string
+	watched       [watcherCount]string
+	dispatchers   map[string]dispatcher
+	releaseQueues map[string]*releaseQueue
 }
 
-// dispatcher is who dispatches a region, as far as is known.
+// dispatcher is the last known dispatcher of a region and the end of its
+// lease.
 type dispatcher struct {
 	address string
 	until   time.Time
@@ -76,37 +80,38 @@
 	return &Gateway{
 		config: config, ports: ports, incarnation: uint64(ports.Clock.Now().UnixNano()), seeds: config.Seeds,
 		links: make(map[string]port.ControllerLink), known: make(map[string]port.Controller),
-		avoid: make(map[string]time.Time), deaf: make(map[string]time.Time), late: make(map[string]int), served: make(map[string]string), regions: make(map[string]dispatcher),
-		releases: make(map[string]*outbox),
+		avoidUntil: make(map[string]time.Time), skipUntil: make(map[string]time.Time), timeouts: make(map[string]int), lastEndpoint: make(map[string]string), dispatchers: make(map[string]dispatcher),
+		releaseQueues: make(map[string]*releaseQueue),
 	}
 }
 
-// Run keeps the gateway up to date until ctx ends.
+// Run watches controllers until ctx ends.
 func (g *Gateway) Run(ctx context.Context) {
 	var group sync.WaitGroup
-	for slot := range watchers {
-		group.Go(func() { g.watch(ctx, slot) })
+	for watcher := range watcherCount {
+		group.Go(func() { g.watch(ctx, watcher) })
 	}
 	group.Wait()
 }
 
-// Stop begins a planned stop: clients are sent elsewhere.
+// Stop begins a planned stop: the gateway is no longer ready, so that clients
+// use others.
 func (g *Gateway) Stop() {
 	g.stopping.Store(true)
 	event.Log(context.Background(), g.ports.Logger, event.StopBegun, slog.Int64("in_flight", g.inFlight.Load()))
 }
 
-// SetSeeds replaces the addresses to look for controllers at.
+// SetSeeds replaces the addresses at which controllers are looked for.
 func (g *Gateway) SetSeeds(seeds []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.seeds = seeds
 }
 
-// InFlight is the number of requests that are being served.
+// InFlight is the number of in-flight requests.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// Gauges returns what the gateway is at: counts by name.
+// Gauges returns the current gauge values by name.
 func (g *Gateway) Gauges() map[string]int64 {
 	out := map[string]int64{"request.in_flight": g.InFlight()}
 	if table := g.table.Load(); table != nil {
@@ -115,7 +120,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out["controllers.known"] = int64(len(g.known))
-	for _, address := range g.watching {
+	for _, address := range g.watched {
 		if address != "" {
 			out["controllers.watched"]++
 		}
--- a/internal/app/gateway/locate.go
+++ b/internal/app/gateway/locate.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// deafFor is how long a controller that didn't answer isn't asked for slots: a
-	// lease ends after about as long.
-	deafFor = time.Second
-	// lateMost is the number of answers in a row that come too late before a
-	// controller isn't asked for a while: a lost packet alone delays one.
-	lateMost = 3
-	// mostAsked bounds the controllers that are asked for one slot: one that holds
-	// the region, one that has just ended, one that takes over.
-	mostAsked = 3
-	// mostRemembered bounds the objects whose endpoint is remembered.
-	mostRemembered = 4096
+	// unresponsiveFor is how long no slots are requested from a controller
+	// that didn't answer: about as long as until a lease ends.
+	unresponsiveFor = time.Second
+	// maxTimeouts is the number of consecutive timeouts after which a
+	// controller counts as unresponsive: a lost packet alone causes one.
+	maxTimeouts = 3
+	// maxDispatchersTried bounds the controllers that one slot is requested
+	// from: one that holds the region, one whose lease has just ended, one
+	// that takes over.
+	maxDispatchersTried = 3
+	// maxRememberedObjects bounds the objects whose endpoint is remembered.
+	maxRememberedObjects = 4096
 )
 
-// dispatchersOf returns the controllers to ask for a region's slots, the best
-// first.
+// dispatchersOf returns the controllers to request a region's slots from, the
+// known dispatcher first, then the others in the order of lease.Before.
 func (g *Gateway) dispatchersOf(region string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.ports.Clock.Now()
 	var ranked []port.Controller
 	for _, c := range g.known {
-		if !now.Before(g.deaf[c.Address]) {
+		if !now.Before(g.skipUntil[c.Address]) {
 			ranked = append(ranked, c)
 		}
 	}
@@ -45,39 +46,41 @@
 		return 1
 	})
 	var out []string
-	if d := g.regions[region]; now.Before(d.until) && !now.Before(g.deaf[d.address]) {
+	if d := g.dispatchers[region]; now.Before(d.until) && !now.Before(g.skipUntil[d.address]) {
 		out = append(out, d.address)
 	}
 	for _, c := range ranked {
-		if len(out) < mostAsked && !slices.Contains(out, c.Address) {
+		if len(out) < maxDispatchersTried && !slices.Contains(out, c.Address) {
 			out = append(out, c.Address)
 		}
 	}
 	return out
 }
 
-// ignore passes a controller over for a while if it didn't answer.
-func (g *Gateway) ignore(address string, err error) {
+// recordFailure marks a controller as unresponsive for a while after a failed
+// call, or after maxTimeouts consecutive timeouts. An answer that the
+// controller isn't the dispatcher is no failure.
+func (g *Gateway) recordFailure(address string, err error) {
 	if errors.Is(err, port.ErrNotDispatcher) {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if errors.Is(err, context.DeadlineExceeded) {
-		if g.late[address]++; g.late[address] < lateMost {
+		if g.timeouts[address]++; g.timeouts[address] < maxTimeouts {
 			return
 		}
 	}
-	g.deaf[address] = g.ports.Clock.Now().Add(deafFor)
+	g.skipUntil[address] = g.ports.Clock.Now().Add(unresponsiveFor)
 	event.Log(context.Background(), g.ports.Logger, event.ControllerDeaf,
 		slog.String("controller", address), slog.String("why", err.Error()))
 }
 
-// answered notes that a controller has answered in time.
-func (g *Gateway) answered(address string) {
+// recordAnswer resets the consecutive timeouts of a controller.
+func (g *Gateway) recordAnswer(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.late, address)
+	delete(g.timeouts, address)
 }
 
 // lastServed returns the endpoint that last served an object; empty if none is
@@ -85,21 +88,22 @@
 func (g *Gateway) lastServed(object string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.served[object]
+	return g.lastEndpoint[object]
 }
 
-// remember notes which endpoint served an object.
+// remember records which endpoint served an object. A full table loses an
+// arbitrary entry.
 func (g *Gateway) remember(object, endpoint string) {
 	if object == "" {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, known := g.served[object]; !known && len(g.served) >= mostRemembered {
-		for other := range g.served {
-			delete(g.served, other) // any one: what is needed comes back with its next request
+	if _, known := g.lastEndpoint[object]; !known && len(g.lastEndpoint) >= maxRememberedObjects {
+		for other := range g.lastEndpoint {
+			delete(g.lastEndpoint, other) // an object still in use is remembered again at its next request
 			break
 		}
 	}
-	g.served[object] = endpoint
+	g.lastEndpoint[object] = endpoint
 }
--- a/internal/app/gateway/release.go
+++ b/internal/app/gateway/release.go
@@ -9,60 +9,61 @@
 )
 
 const (
-	// releaseTimeout bounds a call that gives slots back.
+	// releaseTimeout bounds a call that releases slots.
 	releaseTimeout = time.Second
-	// releaseTries bounds the calls for one batch; a grant that isn't given back
-	// ends by itself.
-	releaseTries = 2
+	// maxReleaseTries bounds the calls for one batch; a grant that isn't
+	// released expires.
+	maxReleaseTries = 2
 )
 
-// outbox gives slots back to one dispatcher, all that wait in one call.
-type outbox struct {
+// releaseQueue releases slots at one dispatcher; all pending releases are sent
+// in one call.
+type releaseQueue struct {
 	mu      sync.Mutex
-	waiting []port.SlotRelease
+	pending []port.SlotRelease
 	sending bool
 }
 
-// release gives a slot back without waiting for it.
+// release releases a slot in the background.
 func (g *Gateway) release(address string, r port.SlotRelease) {
 	g.mu.Lock()
-	box := g.releases[address]
-	if box == nil {
-		box = &outbox{}
-		g.releases[address] = box
+	queue := g.releaseQueues[address]
+	if queue == nil {
+		queue = &releaseQueue{}
+		g.releaseQueues[address] = queue
 	}
 	g.mu.Unlock()
-	box.mu.Lock()
-	defer box.mu.Unlock()
-	box.waiting = append(box.waiting, r)
-	if !box.sending {
-		box.sending = true
-		go g.flush(address, box)
+	queue.mu.Lock()
+	defer queue.mu.Unlock()
+	queue.pending = append(queue.pending, r)
+	if !queue.sending {
+		queue.sending = true
+		go g.flush(address, queue)
 	}
 }
 
-// flush sends batches until nothing waits.
-func (g *Gateway) flush(address string, box *outbox) {
+// flush sends batches until no release is pending.
+func (g *Gateway) flush(address string, queue *releaseQueue) {
 	for {
-		box.mu.Lock()
-		batch := box.waiting
-		box.waiting = nil
+		queue.mu.Lock()
+		batch := queue.pending
+		queue.pending = nil
 		if len(batch) == 0 {
-			box.sending = false
-			box.mu.Unlock()
+			queue.sending = false
+			queue.mu.Unlock()
 			return
 		}
-		box.mu.Unlock()
-		g.send(address, batch)
+		queue.mu.Unlock()
+		g.sendReleases(address, batch)
 	}
 }
 
-func (g *Gateway) send(address string, batch []port.SlotRelease) {
+func (g *Gateway) sendReleases(address string, batch []port.SlotRelease) {
 	link, err := g.link(address)
 	if err != nil {
 		return
 	}
-	for range releaseTries {
+	for range maxReleaseTries {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		err := link.Release(ctx, batch)
 		cancel()
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -19,52 +19,55 @@
 )
 
 const (
-	// answerMargin is kept back from a client's deadline for the answer's way.
+	// answerMargin is subtracted from a client's deadline for sending the
+	// answer back.
 	answerMargin = 20 * time.Millisecond
-	// fewestLeft is the time below which a request isn't sent to an endpoint: it
-	// couldn't answer any more.
-	fewestLeft = 30 * time.Millisecond
-	// mostMisses bounds the endpoints that a request tries to reach in vain.
-	mostMisses = 3
-	// askFloor is the shortest time that a dispatcher is given for an answer: a few
-	// round trips to another region.
-	askFloor = 600 * time.Millisecond
-	// noDispatcherRetry is when a client returns while no dispatcher is known: a
-	// lease ends after about as long.
+	// minTimeLeft is the remaining time below which a request isn't sent to an
+	// endpoint, which couldn't answer in time.
+	minTimeLeft = 30 * time.Millisecond
+	// maxUnreachable is the number of unreachable endpoints that a request
+	// passes over; one more ends it.
+	maxUnreachable = 3
+	// minAcquireTimeout is the shortest timeout of a slot request: a few round
+	// trips to another region.
+	minAcquireTimeout = 600 * time.Millisecond
+	// noDispatcherRetry is the retry delay given to clients while no
+	// dispatcher is known: about as long as until a lease ends.
 	noDispatcherRetry = 500 * time.Millisecond
 )
 
-// exchange is one request on its way.
-type exchange struct {
+// inFlightRequest is one client's request with the state of its attempts.
+type inFlightRequest struct {
 	gateway *Gateway
 	request *port.ClientRequest
 	table   *fleet.Table
 	route   *fleet.Route
 	service string
-	// home is the region whose dispatcher grants the slots.
-	home  string
-	began time.Time
-	// tries counts how often the request was sent, and misses the endpoints that
-	// couldn't be reached.
-	tries    int
-	misses   int
-	exclude  []string
-	endpoint string
-	region   string
-	waited   time.Duration
-	version  uint64
-	// open is the failure of an earlier try that may have run; nil if none.
-	open error
+	// dispatchRegion is the region whose dispatcher grants the slots.
+	dispatchRegion string
+	began          time.Time
+	// tries counts the attempts at endpoints that could be reached,
+	// unreachable those at endpoints that couldn't.
+	tries       int
+	unreachable int
+	exclude     []string
+	endpoint    string
+	region      string
+	waited      time.Duration
+	version     uint64
+	// uncertainErr is the failure of an earlier attempt that may have run; nil
+	// if there is none.
+	uncertainErr error
 }
 
 // Serve implements port.GatewayService.
 func (g *Gateway) Serve(ctx context.Context, r *port.ClientRequest) port.ClientAnswer {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	x := &exchange{gateway: g, request: r, began: g.ports.Clock.Now()}
+	x := &inFlightRequest{gateway: g, request: r, began: g.ports.Clock.Now()}
 	answer := x.serve(ctx)
 	x.log(ctx, answer)
-	x.measure(answer)
+	x.recordMetrics(answer)
 	return answer
 }
 
@@ -72,7 +75,7 @@
 	return port.ClientAnswer{Err: verdict.NewError(verdict.NotRun, reason, cause), RetryAfter: retryAfter}
 }
 
-func (x *exchange) serve(ctx context.Context) port.ClientAnswer {
+func (x *inFlightRequest) serve(ctx context.Context) port.ClientAnswer {
 	x.table = x.gateway.table.Load()
 	if x.table == nil {
 		return refusal(verdict.ReasonNoDocument, nil, noDispatcherRetry)
@@ -82,7 +85,7 @@
 	if x.route == nil {
 		return refusal(verdict.ReasonNoRoute, nil, 0)
 	}
-	x.service, x.home = x.route.Pick(rand.Float64()), x.homeRegion()
+	x.service, x.dispatchRegion = x.route.Pick(rand.Float64()), x.chooseDispatchRegion()
 	x.request.Service = x.service
 	x.request.OnceOnly = !x.route.Idempotent
 	limit := x.began.Add(x.route.Timeout)
@@ -95,23 +98,23 @@
 	return x.attempts(ctx)
 }
 
-// attempts sends the request to endpoints until one has answered or none may
-// be asked any more.
-func (x *exchange) attempts(ctx context.Context) port.ClientAnswer {
+// attempts sends the request to endpoints until one has answered or no further
+// attempt is allowed.
+func (x *inFlightRequest) attempts(ctx context.Context) port.ClientAnswer {
 	for {
 		answer, again := x.attempt(ctx)
-		if !again || x.tries >= x.route.Attempts || x.misses > mostMisses || ctx.Err() != nil {
+		if !again || x.tries >= x.route.Attempts || x.unreachable > maxUnreachable || ctx.Err() != nil {
 			return answer
 		}
 	}
 }
 
-// attempt sends the request to one endpoint; again says that another may be
-// asked.
-func (x *exchange) attempt(ctx context.Context) (answer port.ClientAnswer, again bool) {
+// attempt sends the request to one endpoint; again says that another attempt
+// may follow.
+func (x *inFlightRequest) attempt(ctx context.Context) (answer port.ClientAnswer, again bool) {
 	slot, address, err := x.acquire(ctx)
 	if err != nil {
-		return x.unserved(ctx, verdict.ReasonNoDispatcher, err, noDispatcherRetry), false
+		return x.withoutSlot(ctx, verdict.ReasonNoDispatcher, err, noDispatcherRetry), false
 	}
 	if slot.Grant == "" {
 		reason, retryAfter := verdict.ReasonOverload, slot.RetryAfter
@@ -119,19 +122,19 @@
 		case dispatch.ReasonNoEndpoint:
 			reason = verdict.ReasonNoEndpoint
 		case dispatch.ReasonRetryBudget:
-			// The endpoint refused it, not for want of slots.
+			// Endpoints refused it although they had free slots.
 			reason, retryAfter = verdict.ReasonShed, refusedRetry
 		}
-		return x.unserved(ctx, reason, nil, retryAfter), false
+		return x.withoutSlot(ctx, reason, nil, retryAfter), false
 	}
 	return x.send(ctx, slot, address)
 }
 
-// unserved ends a request for which no slot was found. What an earlier try may
-// have run stays open.
-func (x *exchange) unserved(ctx context.Context, reason verdict.Reason, err error, retryAfter time.Duration) port.ClientAnswer {
-	if x.open != nil {
-		return port.ClientAnswer{Err: x.open}
+// withoutSlot returns the answer of a request that got no slot. If an earlier
+// attempt may have run, its error is the answer.
+func (x *inFlightRequest) withoutSlot(ctx context.Context, reason verdict.Reason, err error, retryAfter time.Duration) port.ClientAnswer {
+	if x.uncertainErr != nil {
+		return port.ClientAnswer{Err: x.uncertainErr}
 	}
 	if retryAfter == 0 {
 		retryAfter = dispatchRetry(x.request.Deadline.Sub(x.gateway.ports.Clock.Now()))
@@ -142,53 +145,57 @@
 	return refusal(reason, err, retryAfter)
 }
 
-// send uses a slot.
-func (x *exchange) send(ctx context.Context, d dispatch.Decision, address string) (port.ClientAnswer, bool) {
+// send sends the request to the endpoint of a granted slot and releases the
+// slot.
+func (x *inFlightRequest) send(ctx context.Context, d dispatch.Decision, address string) (port.ClientAnswer, bool) {
 	g := x.gateway
 	began := g.ports.Clock.Now()
 	x.endpoint, x.region = d.Endpoint.ID, d.Region
 	outcome := dispatch.Unsent
 	defer func() {
 		g.release(address, port.SlotRelease{
-			Region: x.home, Grant: d.Grant, Outcome: outcome, Took: g.ports.Clock.Now().Sub(began),
+			Region: x.dispatchRegion, Grant: d.Grant, Outcome: outcome, Took: g.ports.Clock.Now().Sub(began),
 		})
 	}()
-	if x.request.Deadline.Sub(began) < fewestLeft {
-		return x.unserved(ctx, verdict.ReasonDeadline, nil, 0), false
+	if x.request.Deadline.Sub(began) < minTimeLeft {
+		return x.withoutSlot(ctx, verdict.ReasonDeadline, nil, 0), false
 	}
 	response, err := g.ports.Endpoints.Call(ctx, x.target(d.Endpoint), &x.request.Request, nil)
 	outcome = outcomeOf(ctx, response, err)
 	if outcome == dispatch.Unreachable {
-		x.misses++
+		x.unreachable++
 		x.exclude = append(x.exclude, d.Endpoint.ID)
 	} else {
-		// It may be sent there again: the object is warm at it.
+		// The endpoint isn't excluded from the next attempt: the object is in
+		// its cache.
 		x.tries++
 	}
 	if outcome == dispatch.Served {
-		g.remember(x.object(), d.Endpoint.ID)
+		g.remember(x.objectKey(), d.Endpoint.ID)
 	}
 	switch {
 	case err == nil:
 		return port.ClientAnswer{Response: response}, false
-	case verdict.Of(err) == verdict.NotRun && x.open != nil:
-		return port.ClientAnswer{Err: x.open}, true
+	case verdict.Of(err) == verdict.NotRun && x.uncertainErr != nil:
+		return port.ClientAnswer{Err: x.uncertainErr}, true
 	case verdict.Of(err) == verdict.NotRun:
 		return port.ClientAnswer{Err: err, RetryAfter: refusedRetry}, true
 	default:
-		x.open = err
+		x.uncertainErr = err
 		return port.ClientAnswer{Err: err}, x.route.Idempotent
 	}
 }
 
-// refusedRetry is when a client returns whose request endpoints refused although
-// they had a free slot: soon, since nothing has to be waited for.
+// refusedRetry is the retry delay given to a client whose request was refused
+// by endpoints with a free slot: short, since it doesn't have to wait for a
+// slot.
 const refusedRetry = 50 * time.Millisecond
 
-// dispatchRetry is when a client returns for which no slot came free.
+// dispatchRetry is the retry delay given to a client for which no slot became
+// free, a quarter of the time left to its deadline.
 func dispatchRetry(left time.Duration) time.Duration { return left / 4 }
 
-func (x *exchange) target(e registry.Endpoint) port.Endpoint {
+func (x *inFlightRequest) target(e registry.Endpoint) port.Endpoint {
 	connections := 0
 	if s := x.table.Service(x.service); s != nil {
 		connections = s.Connections
@@ -196,7 +203,7 @@
 	return port.Endpoint{ID: e.ID, Incarnation: uint64(e.Born), Address: e.Address, Connections: connections}
 }
 
-// outcomeOf classes the end of a call for the dispatcher.
+// outcomeOf classifies the result of a call for the dispatcher.
 func outcomeOf(ctx context.Context, response *port.Response, err error) dispatch.Outcome {
 	switch {
 	case err == nil && response.Status < http.StatusInternalServerError:
@@ -216,16 +223,17 @@
 	}
 }
 
-// acquire asks the dispatcher of the home region for a slot.
-func (x *exchange) acquire(ctx context.Context) (d dispatch.Decision, address string, err error) {
+// acquire requests a slot in the dispatch region and adds the time to waited.
+func (x *inFlightRequest) acquire(ctx context.Context) (d dispatch.Decision, address string, err error) {
 	began := x.gateway.ports.Clock.Now()
 	defer func() { x.waited += x.gateway.ports.Clock.Now().Sub(began) }()
-	return x.askRegion(ctx, x.ask())
+	return x.acquireInRegion(ctx, x.slotRequest())
 }
 
-// homeRegion is the region whose dispatcher is asked: the gateway's own, unless
-// the request may not run there.
-func (x *exchange) homeRegion() string {
+// chooseDispatchRegion returns the region whose dispatcher is used: the
+// gateway's own, or a random home region of the route if the request may not
+// run in its own.
+func (x *inFlightRequest) chooseDispatchRegion() string {
 	homes := x.route.Homes
 	if len(homes) == 0 || slices.Contains(homes, x.gateway.config.Region) {
 		return x.gateway.config.Region
@@ -233,63 +241,65 @@
 	return homes[rand.IntN(len(homes))]
 }
 
-// askRegion asks the holder of a region, or if none is known or in reach the
-// controllers in the order in which they would dispatch it.
-func (x *exchange) askRegion(ctx context.Context, ask port.AskSlot) (dispatch.Decision, string, error) {
+// acquireInRegion requests a slot from the known dispatcher of a region and
+// then, if there is none or it fails, from the controllers in the order in
+// which they would dispatch the region.
+func (x *inFlightRequest) acquireInRegion(ctx context.Context, request port.AskSlot) (dispatch.Decision, string, error) {
 	g := x.gateway
-	err := fmt.Errorf("%w: region %q has none", port.ErrNotDispatcher, ask.Region)
-	for _, address := range g.dispatchersOf(ask.Region) {
+	err := fmt.Errorf("%w: no responsive controller is known for region %q", port.ErrNotDispatcher, request.Region)
+	for _, address := range g.dispatchersOf(request.Region) {
 		var slot dispatch.Decision
-		if slot, err = g.askOne(ctx, address, ask); err == nil {
-			g.answered(address)
+		if slot, err = g.acquireFrom(ctx, address, request); err == nil {
+			g.recordAnswer(address)
 			return slot, address, nil
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		g.ignore(address, err)
+		g.recordFailure(address, err)
 	}
 	return dispatch.Decision{}, "", err
 }
 
-func (g *Gateway) askOne(ctx context.Context, address string, ask port.AskSlot) (dispatch.Decision, error) {
+func (g *Gateway) acquireFrom(ctx context.Context, address string, request port.AskSlot) (dispatch.Decision, error) {
 	link, err := g.link(address)
 	if err != nil {
 		return dispatch.Decision{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, max(askFloor, ask.Target))
+	ctx, cancel := context.WithTimeout(ctx, max(minAcquireTimeout, request.Target))
 	defer cancel()
-	return link.Acquire(ctx, ask)
+	return link.Acquire(ctx, request)
 }
 
-func (x *exchange) ask() port.AskSlot {
+func (x *inFlightRequest) slotRequest() port.AskSlot {
 	g := x.gateway
 	incarnation := fmt.Sprintf("%s/%d", g.config.Name, g.incarnation)
-	ask := port.AskSlot{
-		Region: x.home,
+	slotRequest := port.AskSlot{
+		Region: x.dispatchRegion,
 		Ask: dispatch.Ask{
 			ID: fmt.Sprintf("%s/%d", incarnation, g.serial.Add(1)), Gateway: incarnation, Service: x.service,
 			Kind: x.route.Name, Priority: x.route.Priority, Zone: g.config.Zone, Target: x.route.Target,
-			Deadline: x.request.Deadline, Again: x.tries+x.misses > 0, Exclude: x.exclude, Homes: x.route.Homes,
+			Deadline: x.request.Deadline, Again: x.tries+x.unreachable > 0, Exclude: x.exclude, Homes: x.route.Homes,
 		},
 	}
 	if x.route.Sticky {
-		ask.Affinity = x.request.Affinity
-		ask.Hint = g.lastServed(x.object())
+		slotRequest.Affinity = x.request.Affinity
+		slotRequest.Hint = g.lastServed(x.objectKey())
 	}
-	return ask
+	return slotRequest
 }
 
-// object names what the request concerns; empty if nothing.
-func (x *exchange) object() string {
+// objectKey names the object whose requests go to the same endpoint for its
+// cache; empty if the route isn't sticky or the request names no object.
+func (x *inFlightRequest) objectKey() string {
 	if !x.route.Sticky || x.request.Affinity == "" {
 		return ""
 	}
 	return x.service + "/" + x.route.Name + "/" + x.request.Affinity
 }
 
-// measure counts the end of a request.
-func (x *exchange) measure(a port.ClientAnswer) {
+// recordMetrics records the result of a request.
+func (x *inFlightRequest) recordMetrics(a port.ClientAnswer) {
 	took := x.gateway.ports.Clock.Now().Sub(x.began)
 	if a.Err == nil {
 		x.gateway.ports.Meter.Request(x.service, verdict.Ran, "", took)
@@ -299,8 +309,8 @@
 	x.gateway.ports.Meter.Slot(x.service, x.waited, x.tries)
 }
 
-// log writes the end of a request.
-func (x *exchange) log(ctx context.Context, a port.ClientAnswer) {
+// log logs the result of a request.
+func (x *inFlightRequest) log(ctx context.Context, a port.ClientAnswer) {
 	attrs := []slog.Attr{
 		slog.String("request", x.request.ID), slog.Uint64("version", x.version), slog.String("service", x.service),
 		slog.String("endpoint", x.endpoint), slog.String("region", x.region), slog.Int("tries", x.tries),
--- a/internal/app/gateway/serve_test.go
+++ b/internal/app/gateway/serve_test.go
@@ -21,16 +21,16 @@
 	"sassafrasreach/internal/port"
 )
 
-// oneController is a controller that dispatches its region and grants whatever
-// is asked, until it is told otherwise.
-type oneController struct {
+// fakeController dispatches its region. It grants every slot request unless
+// answer is set.
+type fakeController struct {
 	mu       sync.Mutex
 	grants   int
 	released []port.SlotRelease
 	answer   func(a port.AskSlot) (dispatch.Decision, error)
 }
 
-func (c *oneController) Watch(ctx context.Context, _ port.Gateway, since port.WatchCursor) (port.Update, error) {
+func (c *fakeController) Watch(ctx context.Context, _ port.Gateway, since port.WatchCursor) (port.Update, error) {
 	u := port.Update{
 		Confirmed: time.Now(), Sequence: 1, Cursor: port.WatchCursor{Incarnation: 1, Sequence: 1},
 		Dispatchers: []port.Lease{{Region: "east", Holder: "c:1", Left: time.Minute, Firm: true}},
@@ -58,7 +58,7 @@
 	}
 }
 
-func (c *oneController) Acquire(_ context.Context, a port.AskSlot) (dispatch.Decision, error) {
+func (c *fakeController) Acquire(_ context.Context, a port.AskSlot) (dispatch.Decision, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.answer != nil {
@@ -71,14 +71,15 @@
 	}, nil
 }
 
-func (c *oneController) Release(_ context.Context, r []port.SlotRelease) error {
+func (c *fakeController) Release(_ context.Context, r []port.SlotRelease) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.released = append(c.released, r...)
 	return nil
 }
 
-// endpoints answer one call after the other.
+// endpoints returns the next result of ends for each call and repeats the last
+// one; with waits set, each call blocks until its context ends.
 type endpoints struct {
 	mu    sync.Mutex
 	calls int
@@ -103,7 +104,7 @@
 
 func (e *endpoints) Probe(context.Context, port.Endpoint) error { return nil }
 
-func serve(t *testing.T, c *oneController, e *endpoints, path string) port.ClientAnswer {
+func serve(t *testing.T, c *fakeController, e *endpoints, path string) port.ClientAnswer {
 	g := started(t, c, e)
 	return g.Serve(t.Context(), request(path))
 }
@@ -115,8 +116,8 @@
 	}
 }
 
-// started returns a gateway that knows its routes.
-func started(t *testing.T, c *oneController, e *endpoints) *gateway.Gateway {
+// started returns a running gateway that has received its routes.
+func started(t *testing.T, c *fakeController, e *endpoints) *gateway.Gateway {
 	g := gateway.New(gateway.Config{Name: "g", Zone: "east-1", Region: "east", Seeds: []string{"c:1"}}, gateway.Ports{
 		Clock: port.ClockFunc(time.Now), Logger: slog.New(slog.NewTextHandler(io.Discard, nil)), Endpoints: e, Meter: metrics.New(),
 		Dial: func(string) (port.ControllerLink, error) { return c, nil },
@@ -130,16 +131,16 @@
 	return g
 }
 
-// TestSlowDispatcher answers the load of a link that loses packets: one answer
-// that comes too late doesn't keep the next requests from the dispatcher, and
-// several in a row do.
+// TestSlowDispatcher guards against a dispatcher that is passed over for one
+// late answer, as a link that loses packets causes: after one timeout the next
+// request is sent to it, after three in a row it isn't.
 func TestSlowDispatcher(t *testing.T) {
 	is := is.New(t)
-	slow := 1
-	c := &oneController{}
+	timeouts := 1
+	c := &fakeController{}
 	c.answer = func(port.AskSlot) (dispatch.Decision, error) {
-		if slow > 0 {
-			slow--
+		if timeouts > 0 {
+			timeouts--
 			return dispatch.Decision{}, context.DeadlineExceeded
 		}
 		return dispatch.Decision{Grant: "x", Endpoint: registry.Endpoint{ID: "e"}}, nil
@@ -148,16 +149,16 @@
 	is.True(g.Serve(t.Context(), request("/once/")).Err != nil)
 	is.NoErr(g.Serve(t.Context(), request("/once/")).Err)
 	c.mu.Lock()
-	slow = 3
+	timeouts = 3
 	c.mu.Unlock()
 	for range 3 {
 		is.True(g.Serve(t.Context(), request("/once/")).Err != nil)
 	}
-	is.True(g.Serve(t.Context(), request("/once/")).Err != nil) // not even asked
+	is.True(g.Serve(t.Context(), request("/once/")).Err != nil) // the dispatcher is passed over
 }
 
-// TestAttempts holds how often a request is sent and what its client is told,
-// for each kind of route and each end of the calls.
+// TestAttempts checks how often a request is sent and which verdict its client
+// receives, for each kind of route and each sequence of call results.
 func TestAttempts(t *testing.T) {
 	shed := verdict.NewError(verdict.NotRun, verdict.ReasonShed, nil)
 	dial := verdict.NewError(verdict.NotRun, verdict.ReasonDial, nil)
@@ -177,24 +178,25 @@
 		{"once-only, refused, then broken off", "/once/", []error{shed, broken}, 2, verdict.MayHaveRun},
 		{"idempotent, broken off, then served", "/safe/", []error{broken, nil}, 2, verdict.Ran},
 		{"idempotent, broken off, then refused", "/safe/", []error{broken, shed}, 2, verdict.MayHaveRun},
-		{"one attempt alone", "/single/", []error{broken, nil}, 1, verdict.MayHaveRun},
+		{"one attempt allowed", "/single/", []error{broken, nil}, 1, verdict.MayHaveRun},
 		{"no route", "/other/", []error{nil}, 0, verdict.NotRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			e := &endpoints{ends: c.ends}
-			a := serve(t, &oneController{}, e, c.path)
-			is.Equal(verdict.Of(a.Err), c.want)
+			answer := serve(t, &fakeController{}, e, c.path)
+			is.Equal(verdict.Of(answer.Err), c.want)
 			is.Equal(e.calls, c.calls)
 		})
 	}
 }
 
-// TestTimeout ends a request at its route's timeout and gives its slot back.
+// TestTimeout guards against a request that outlives its route's timeout, and
+// against a slot that isn't released then.
 func TestTimeout(t *testing.T) {
 	is := is.New(t)
-	c := &oneController{}
+	c := &fakeController{}
 	began := time.Now()
 	a := serve(t, c, &endpoints{ends: []error{nil}, waits: true}, "/once/")
 	is.Equal(verdict.Of(a.Err), verdict.MayHaveRun)
@@ -206,7 +208,8 @@
 	is.Equal(c.released[0].Outcome, dispatch.Failed)
 }
 
-// TestNoSlot tells a client when to come back, and that its request didn't run.
+// TestNoSlot guards against a request without a slot that is sent all the
+// same, or whose answer lacks the verdict that it didn't run or a retry delay.
 func TestNoSlot(t *testing.T) {
 	cases := map[string]func(port.AskSlot) (dispatch.Decision, error){
 		"refused": func(port.AskSlot) (dispatch.Decision, error) {
@@ -215,7 +218,7 @@
 		"no dispatcher": func(port.AskSlot) (dispatch.Decision, error) {
 			return dispatch.Decision{}, port.ErrNotDispatcher
 		},
-		"out of reach": func(port.AskSlot) (dispatch.Decision, error) {
+		"unreachable": func(port.AskSlot) (dispatch.Decision, error) {
 			return dispatch.Decision{}, errors.New("unreachable")
 		},
 	}
@@ -223,7 +226,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			e := &endpoints{ends: []error{nil}}
-			a := serve(t, &oneController{answer: answer}, e, "/once/")
+			a := serve(t, &fakeController{answer: answer}, e, "/once/")
 			is.Equal(verdict.Of(a.Err), verdict.NotRun)
 			is.True(a.RetryAfter > 0)
 			is.Equal(e.calls, 0)
@@ -231,12 +234,12 @@
 	}
 }
 
-// TestRetryBudgetUsedUp answers the load of endpoints that refuse requests while
-// they have free slots, beyond the budget for second sends: the client comes back
-// soon.
+// TestRetryBudgetUsedUp guards against a long retry delay when endpoints
+// refuse requests although they have free slots and the retry budget is used
+// up.
 func TestRetryBudgetUsedUp(t *testing.T) {
 	is := is.New(t)
-	c := &oneController{}
+	c := &fakeController{}
 	c.answer = func(a port.AskSlot) (dispatch.Decision, error) {
 		if a.Again {
 			return dispatch.Decision{Reason: dispatch.ReasonRetryBudget, RetryAfter: time.Second}, nil
--- a/internal/app/gateway/watch.go
+++ b/internal/app/gateway/watch.go
@@ -15,58 +15,63 @@
 )
 
 const (
-	// watchers is the number of controllers that are watched at once: one near,
-	// and one of another region in case the first is cut off.
-	watchers = 2
-	// watchTimeout bounds a watch call, which is held for less than half of it.
+	// watcherCount is the number of controllers that are watched at once: one
+	// nearby, and one of another region in case the first is cut off.
+	watcherCount = 2
+	// watchTimeout bounds a watch call, which the controller holds for less
+	// than half of it.
 	watchTimeout = time.Second
 	// watchPause is the pause after a failed call.
 	watchPause = 50 * time.Millisecond
 	// avoidFor is how long a controller that failed or has no quorum is passed
-	// over: a few rounds of news among controllers.
+	// over: a few rounds of exchanges among controllers.
 	avoidFor = time.Second
-	// behindFor is how long the near controller may take to tell of a new state
-	// before the other one is asked for it: its own call is held for less.
-	behindFor = 500 * time.Millisecond
-	// staleAfter is the age at which a controller's state counts as unconfirmed.
+	// maxLag is how long the nearby controller may take to send a new state
+	// before the state is requested from the other one: the nearby one holds
+	// its calls for less.
+	maxLag = 500 * time.Millisecond
+	// staleAfter is the age from which a controller's confirmation by a quorum
+	// counts as stale.
 	staleAfter = 1200 * time.Millisecond
 )
 
-// watch keeps watching one controller after the other.
-func (g *Gateway) watch(ctx context.Context, slot int) {
+// watch watches one controller at a time and moves to another one after a
+// failure or when the state is unconfirmed.
+func (g *Gateway) watch(ctx context.Context, watcher int) {
 	address := ""
 	var cursor port.WatchCursor
 	for ctx.Err() == nil {
 		if address == "" {
-			address, cursor = g.pick(slot), port.WatchCursor{}
+			address, cursor = g.pick(watcher), port.WatchCursor{}
 			if address == "" {
 				wait.For(ctx, watchPause)
 				continue
 			}
 		}
-		update, err := g.watchOnce(ctx, address, g.wanted(slot, cursor))
+		update, err := g.watchOnce(ctx, address, g.requestCursor(watcher, cursor))
 		now := g.ports.Clock.Now()
 		if err == nil {
 			cursor = update.Cursor
-			g.heardOf(now, update.Sequence)
+			g.recordNewest(now, update.Sequence)
 			g.apply(now, update)
-			if now.Sub(update.Confirmed) < staleAfter || !g.better(slot, address) {
+			if now.Sub(update.Confirmed) < staleAfter || !g.hasAlternative(watcher, address) {
 				continue
 			}
 		}
-		g.giveUp(now, slot, address, err)
+		g.stopWatching(now, watcher, address, err)
 		address = ""
 		wait.For(ctx, watchPause)
 	}
 }
 
-// wanted is the cursor that a watcher asks with. The second one leaves the state
-// to the first, which is near, unless that one is behind.
-func (g *Gateway) wanted(slot int, cursor port.WatchCursor) port.WatchCursor {
+// requestCursor returns the cursor of a watcher's next call. The second
+// watcher skips the states that the first one, which is nearby, will receive,
+// unless the first lags behind.
+func (g *Gateway) requestCursor(watcher int, cursor port.WatchCursor) port.WatchCursor {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	late := g.newest > g.sequence && g.ports.Clock.Now().Sub(g.newestSince) > behindFor
-	if slot == 0 || late || g.sequence == 0 {
+	lagging := g.newest > g.sequence && g.ports.Clock.Now().Sub(g.newestSince) > maxLag
+	if watcher == 0 || lagging || g.sequence == 0 {
 		cursor.Sequence = g.sequence
 		return cursor
 	}
@@ -74,8 +79,8 @@
 	return cursor
 }
 
-// heardOf notes the newest state that any controller has told of.
-func (g *Gateway) heardOf(now time.Time, sequence uint64) {
+// recordNewest records the newest sequence that any controller has reported.
+func (g *Gateway) recordNewest(now time.Time, sequence uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if sequence > g.newest {
@@ -96,7 +101,7 @@
 	}, cursor)
 }
 
-// link returns the way to a controller.
+// link returns a client for a controller.
 func (g *Gateway) link(address string) (port.ControllerLink, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -111,12 +116,12 @@
 	return l, nil
 }
 
-// giveUp makes a watcher pass a controller over for a while.
-func (g *Gateway) giveUp(now time.Time, slot int, address string, err error) {
+// stopWatching makes a watcher pass a controller over for a while.
+func (g *Gateway) stopWatching(now time.Time, watcher int, address string, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.avoid[address] = now.Add(avoidFor)
-	g.watching[slot] = ""
+	g.avoidUntil[address] = now.Add(avoidFor)
+	g.watched[watcher] = ""
 	why := "unconfirmed"
 	if err != nil {
 		why = err.Error()
@@ -127,39 +132,40 @@
 
 // pick chooses the controller that a watcher watches next; empty if there is
 // none.
-func (g *Gateway) pick(slot int) string {
+func (g *Gateway) pick(watcher int) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.ports.Clock.Now()
-	best := g.ranked(now, slot)
-	if best == "" {
+	address := g.bestController(now, watcher)
+	if address == "" {
 		return ""
 	}
-	g.watching[slot] = best
+	g.watched[watcher] = address
 	event.Log(context.Background(), g.ports.Logger, event.WatchBegun,
-		slog.String("controller", best), slog.Int("watcher", slot))
-	return best
+		slog.String("controller", address), slog.Int("watcher", watcher))
+	return address
 }
 
-// better says whether a watcher could watch another controller.
-func (g *Gateway) better(slot int, than string) bool {
+// hasAlternative reports whether a watcher could watch another controller.
+func (g *Gateway) hasAlternative(watcher int, than string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	other := g.ranked(g.ports.Clock.Now(), slot)
+	other := g.bestController(g.ports.Clock.Now(), watcher)
 	return other != "" && other != than
 }
 
-// ranked returns the best controller for a watcher: the first is near, the
-// second of another region. Must hold mu.
-func (g *Gateway) ranked(now time.Time, slot int) string {
-	type ranking struct {
+// bestController returns the best controller for a watcher: nearby for the first
+// watcher, of another region for the second; equal ones are drawn at random.
+// Must hold mu.
+func (g *Gateway) bestController(now time.Time, watcher int) string {
+	type candidate struct {
 		address string
 		rank    int
 		draw    uint32
 	}
-	var all []ranking
+	var all []candidate
 	add := func(address string, c port.Controller) {
-		if now.Before(g.avoid[address]) || g.watching[1-slot] == address {
+		if now.Before(g.avoidUntil[address]) || g.watched[1-watcher] == address {
 			return
 		}
 		rank := 2
@@ -169,10 +175,10 @@
 		case c.Region == g.config.Region:
 			rank = 1
 		}
-		if slot == 1 {
+		if watcher == 1 {
 			rank = 2 - rank
 		}
-		all = append(all, ranking{address, rank, rand.Uint32()})
+		all = append(all, candidate{address, rank, rand.Uint32()})
 	}
 	for address, c := range g.known {
 		add(address, c)
@@ -185,12 +191,13 @@
 	if len(all) == 0 {
 		return ""
 	}
-	return slices.MinFunc(all, func(a, b ranking) int {
+	return slices.MinFunc(all, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.draw, b.draw))
 	}).address
 }
 
-// apply takes what a controller has told.
+// apply applies a controller's update: the state if it is newer, the leases
+// and the controllers.
 func (g *Gateway) apply(now time.Time, u port.Update) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,8 +212,8 @@
 	}
 	for _, l := range u.Dispatchers {
 		until := now.Add(l.Left)
-		if until.After(g.regions[l.Region].until) {
-			g.regions[l.Region] = dispatcher{address: l.Holder, until: until}
+		if until.After(g.dispatchers[l.Region].until) {
+			g.dispatchers[l.Region] = dispatcher{address: l.Holder, until: until}
 		}
 	}
 	if len(u.Controllers) == 0 {
