--- a/internal/app/workers/doc.go
+++ b/internal/app/workers/doc.go
@@ -1,3 +1,3 @@
-// Package workers runs jobs on a fixed number of goroutines, so that the work
-// of a VM under load is bounded by the pool and not by its callers.
+// Package workers runs jobs on a fixed number of goroutines, so that the
+// concurrency of a VM under load is bounded by the pool and not by its callers.
 package workers
--- a/internal/app/workers/pool.go
+++ b/internal/app/workers/pool.go
@@ -6,10 +6,11 @@
 	"sync"
 )
 
-// ErrClosed is returned for a job that comes after Close.
+// ErrClosed is the error of a job that is submitted after Close.
 var ErrClosed = errors.New("worker pool is closed")
 
-// Pool is a fixed number of workers over one queue without a buffer.
+// Pool is a fixed number of workers that take jobs from one unbuffered
+// channel.
 type Pool struct {
 	jobs chan func()
 	done chan struct{}
@@ -17,7 +18,7 @@
 	wg   sync.WaitGroup
 }
 
-// New starts a pool of size workers.
+// New returns a pool of size running workers.
 func New(size int) *Pool {
 	p := &Pool{jobs: make(chan func()), done: make(chan struct{})}
 	for range size {
@@ -37,8 +38,8 @@
 	}
 }
 
-// Submit hands job to a free worker. When it returns an error (that of ctx, or
-// ErrClosed) the job will never run.
+// Submit waits for a free worker and hands it the job. When it returns an
+// error (that of ctx, or ErrClosed) the job will never run.
 func (p *Pool) Submit(ctx context.Context, job func()) error {
 	select {
 	case p.jobs <- job:
@@ -55,7 +56,7 @@
 	}
 }
 
-// Close ends the workers after the jobs that they run, and waits for them.
+// Close stops each worker once its current job has ended, and waits for them.
 func (p *Pool) Close() {
 	p.once.Do(func() { close(p.done) })
 	p.wg.Wait()
--- a/internal/port/config.go
+++ b/internal/port/config.go
@@ -12,15 +12,15 @@
 	Version uint64
 	// Digest is the hex SHA-256 of Document.
 	Digest string
-	// Document is the YAML text as it was accepted.
+	// Document is the accepted YAML text.
 	Document []byte
 }
 
-// Change is an operator's wish to replace the document.
+// Change is an operator's request to replace the document.
 type Change struct {
-	// ID identifies the change; a resend has the same ID.
+	// ID identifies the change; a retry has the same ID.
 	ID string
-	// Operator names who asks.
+	// Operator names the operator that submitted the change.
 	Operator string
 	// BaseVersion is the version that the change was made from.
 	BaseVersion uint64
@@ -28,44 +28,47 @@
 	Document []byte
 }
 
-// ChangeState says how a change ended.
+// ChangeState is the result of a change.
 type ChangeState string
 
 const (
-	// ChangeAccepted means that the change became a version.
+	// ChangeAccepted means that the change was accepted as a new version.
 	ChangeAccepted ChangeState = "accepted"
-	// ChangeConflict means that another change took the version.
+	// ChangeConflict means that another change was accepted on the same base
+	// version.
 	ChangeConflict ChangeState = "conflict"
-	// ChangeInvalid means that the document has faults.
+	// ChangeInvalid means that the document is invalid.
 	ChangeInvalid ChangeState = "invalid"
 	// ChangeUnknown means that the change may have been accepted; the operator
-	// resends it with the same ID to learn which.
+	// retries it with the same ID to find out.
 	ChangeUnknown ChangeState = "may-have-been-accepted"
-	// ChangeLifted means that a quarantine was lifted; the document stays.
+	// ChangeLifted means that a quarantine was lifted; the document is
+	// unchanged.
 	ChangeLifted ChangeState = "lifted"
 )
 
-// Lift is an operator's wish to take a request out of quarantine.
+// Lift is an operator's request to take a request's fingerprint out of
+// quarantine.
 type Lift struct {
-	// ID identifies the lift; a resend has the same ID.
+	// ID identifies the lift; a retry has the same ID.
 	ID string
-	// Operator names who asks.
+	// Operator names the operator that submitted the lift.
 	Operator string
-	// Fingerprint is the request's.
+	// Fingerprint is the fingerprint of the quarantined request.
 	Fingerprint string
 }
 
-// Outcome is what became of a change.
+// Outcome is the result of a change or lift.
 type Outcome struct {
-	// ChangeID is the change's ID.
+	// ChangeID is the ID of the change or lift.
 	ChangeID string `json:"change_id"`
-	// State says how the change ended.
+	// State is the result.
 	State ChangeState `json:"state"`
 	// Version and Digest are of the document in the register: the change's own
-	// when accepted, the winner's on a conflict.
+	// when accepted, the conflicting one's on a conflict.
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
-	// Operator names who made that version.
+	// Operator names the operator whose change made that version.
 	Operator string `json:"operator"`
 }
 
@@ -87,50 +90,52 @@
 	Hash     string `json:"hash"`
 }
 
-// EntryStatus is what an entry last said of itself.
+// EntryStatus is the last report of an entry.
 type EntryStatus struct {
 	// Name and Place identify the entry.
 	Name  string `json:"name"`
 	Place string `json:"place"`
-	// Version is the version of the document in force there.
+	// Version is the version of the document in force at the entry.
 	Version uint64 `json:"version"`
-	// Age is the time since the entry was last heard of, in nanoseconds.
+	// Age is the time since the entry's last report, in nanoseconds.
 	Age time.Duration `json:"age_ns"`
 	// Quarantined lists the fingerprints that the entry refuses.
 	Quarantined []string `json:"quarantined,omitempty"`
 }
 
-// ControlStatus is what one control VM knows of the system.
+// ControlStatus is the system as one control VM knows it.
 type ControlStatus struct {
 	// Member is the control VM's name.
 	Member string `json:"member"`
-	// Quorum says whether a quorum of control VMs answered just now.
+	// Quorum reports whether a quorum of control VMs has answered this call.
 	Quorum bool `json:"quorum"`
-	// Version and Digest are of the newest document that the VM knows.
+	// Version and Digest are of the newest document that this control VM
+	// knows.
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
-	// Entries are the entries that were heard of.
+	// Entries are the last reports of the entries, one for each.
 	Entries []EntryStatus `json:"entries"`
 }
 
-// ErrNoQuorum means that too few control VMs answered to decide anything.
+// ErrNoQuorum means that too few control VMs answered to read or decide.
 var ErrNoQuorum = errors.New("no quorum of control VMs")
 
-// ConfigStore is the replicated register of the document, as operators use it.
+// ConfigStore is the replicated register that holds the document, as operators
+// use it.
 type ConfigStore interface {
 	// Current reads the newest accepted version through a quorum. It returns
 	// ErrNoQuorum when too few control VMs answer.
 	Current(ctx context.Context) (Config, error)
-	// Submit proposes a change. The outcome's state tells how it ended; the
-	// error is ErrNoQuorum when nothing was proposed at all.
+	// Submit proposes a change. The outcome's state is the result; the error
+	// is ErrNoQuorum when nothing was proposed.
 	Submit(ctx context.Context, change Change) (Outcome, error)
 	// Audit returns the audit trail, oldest first.
 	Audit(ctx context.Context) ([]AuditRecord, error)
-	// Status returns what this control VM knows, from local state and a probe
-	// of its peers.
+	// Status returns the status from this control VM's local state and the
+	// answers of the other control VMs.
 	Status(ctx context.Context) (ControlStatus, error)
-	// LiftQuarantine puts a lift into the audit trail and then asks every entry
-	// to forget the fingerprint. Outcome and error are as of Submit; nothing is
-	// lifted unless the outcome's state is ChangeLifted.
+	// LiftQuarantine adds a lift to the audit trail and then sends it to the
+	// control VMs, from which the entries fetch it. Outcome and error are as
+	// of Submit; nothing is lifted unless the outcome's state is ChangeLifted.
 	LiftQuarantine(ctx context.Context, lift Lift) (Outcome, error)
 }
--- a/internal/port/entry.go
+++ b/internal/port/entry.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// LookupQuery asks which entries to use for a service.
+// LookupQuery requests the entries to use for a service.
 type LookupQuery struct {
 	// Service names the service.
 	Service string
@@ -38,43 +38,45 @@
 	Home string `json:"home"`
 }
 
-// EndpointState is what an endpoint says of itself.
+// EndpointState is the state that an endpoint reports.
 type EndpointState string
 
 const (
-	// EndpointStarting is not ready for work yet.
+	// EndpointStarting means that it isn't ready for requests yet.
 	EndpointStarting EndpointState = "starting"
-	// EndpointReady takes work.
+	// EndpointReady means that it accepts requests.
 	EndpointReady EndpointState = "ready"
-	// EndpointLeaving takes no new work, for the rest of its incarnation.
+	// EndpointLeaving means that it accepts no new requests for the rest of
+	// its incarnation.
 	EndpointLeaving EndpointState = "leaving"
 )
 
-// Announcement is an endpoint's report of itself.
+// Announcement is an endpoint's periodic report.
 type Announcement struct {
 	// ID identifies the endpoint; Incarnation changes at each of its starts.
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"incarnation"`
-	// Sequence orders the reports of one incarnation.
+	// Sequence orders the announcements of one incarnation.
 	Sequence uint64 `json:"sequence"`
-	// Service and Place say which group the endpoint belongs to.
+	// Service and Place identify the group that the endpoint belongs to.
 	Service string `json:"service"`
 	Place   string `json:"place"`
-	// Address is the IP:port where it serves.
+	// Address is the IP:port where it serves requests.
 	Address string `json:"address"`
 	// Slots is the number of requests that it runs at once.
 	Slots int `json:"slots"`
 	// Connections is the number of connections that it accepts.
 	Connections int `json:"connections"`
-	// State says whether it takes work.
+	// State says whether it accepts requests.
 	State EndpointState `json:"state"`
-	// Load is its own measure of use: 0 is idle, 1 is full.
+	// Load is the utilization that it measures itself: 0 is idle, 1 is full.
 	Load float64 `json:"load"`
 }
 
-// AnnounceAnswer tells an endpoint where and when to announce next.
+// AnnounceAnswer says where and when an endpoint announces next.
 type AnnounceAnswer struct {
-	// Entries are the IP:ports of the entries of the endpoint's place.
+	// Entries are the IP:port addresses of the entries of the endpoint's
+	// place.
 	Entries []string `json:"entries"`
 	// IntervalMillis is the time until the next announcement.
 	IntervalMillis int64 `json:"interval_ms"`
@@ -84,27 +86,27 @@
 type ServiceTerms struct {
 	// Deadline is the default time that a request may take.
 	Deadline time.Duration
-	// MaxBodyBytes and MaxAnswerBytes bound the bodies.
+	// MaxBodyBytes bounds the request body, MaxAnswerBytes the answer's.
 	MaxBodyBytes   int64
 	MaxAnswerBytes int64
-	// OnceOnly says whether the method must not run twice.
+	// OnceOnly means that a request with this method must not run twice.
 	OnceOnly bool
 }
 
-// Entry is what an entry offers to callers and endpoints. Every error is a
-// *verdict.Error.
+// Entry is the service that an entry offers to callers and endpoints. Every
+// error is a *verdict.Error.
 type Entry interface {
 	// Lookup ranks entries from local state alone.
 	Lookup(q LookupQuery) (LookupAnswer, error)
 	// Terms returns the bounds of a service for a method.
 	Terms(service, method string) (ServiceTerms, error)
-	// OriginOf returns the place of a caller: the named one if it exists, else
-	// the place of the address, else the entry's own.
+	// OriginOf returns the place of a caller: the named one, else the place of
+	// the address, else the entry's own. An unknown named place is an error.
 	OriginOf(place string, client netip.Addr) (string, error)
-	// Serve carries a request to an endpoint.
+	// Serve carries a request to an endpoint and returns its answer.
 	Serve(ctx context.Context, req *Request) (*Response, error)
-	// Announce takes an endpoint's report.
+	// Announce accepts an endpoint's announcement.
 	Announce(ctx context.Context, a Announcement) (AnnounceAnswer, error)
-	// Ready says whether the entry serves; the text says why not.
+	// Ready reports whether the entry serves requests, and if not, why.
 	Ready() (ok bool, why string)
 }
--- a/internal/port/fleet.go
+++ b/internal/port/fleet.go
@@ -12,93 +12,97 @@
 )
 
 var (
-	// ErrUnsure means that a controller can't be sure of the newest state, or
-	// couldn't make an order durable in time; the order may be accepted later.
-	ErrUnsure = errors.New("no quorum confirmed it in time")
+	// ErrUnsure means that no quorum confirmed the newest state, or that an
+	// order or an endpoint's leaving wasn't acknowledged by a quorum in time;
+	// it may still take effect later.
+	ErrUnsure = errors.New("no quorum confirmed the state or change in time")
 	// ErrNotDispatcher means that a controller doesn't dispatch a region.
 	ErrNotDispatcher = errors.New("controller doesn't dispatch the region")
 )
 
-// Controller is what is known of a controller.
+// Controller describes a controller, as reported by itself or by others.
 type Controller struct {
-	// Address is the IP:port where it answers controllers and gateways.
+	// Address is the IP:port where it serves controllers and gateways.
 	Address string
-	// Disk is the ID of its disk in the register.
+	// Disk is the ID of its disk, by which the register identifies its voter.
 	Disk string
-	// Zone and Region say where it runs.
+	// Zone and Region are its failure domain and region.
 	Zone, Region string
-	// Incarnation is the time of its start.
+	// Incarnation is its start time in Unix nanoseconds.
 	Incarnation uint64
-	// Heard is when it was last heard of, on this VM's clock.
+	// Heard is the time of its last sign of life, on this VM's clock.
 	Heard time.Time
 }
 
-// Gateway is what is known of a gateway.
+// Gateway describes a gateway, as reported by itself or by controllers.
 type Gateway struct {
 	// Address is the IP:port where it serves clients.
 	Address      string
 	Zone, Region string
 	Incarnation  uint64
-	// Ready says that clients may be sent there.
+	// Ready means that clients may use it.
 	Ready bool
-	// Heard is when it was last heard of, on this VM's clock.
+	// Heard is the time of its last sign of life, on this VM's clock.
 	Heard time.Time
 }
 
 // Lease names the dispatcher of a region.
 type Lease struct {
 	Region string
-	// Holder is the controller's address.
+	// Holder is the address of the controller that dispatches the region.
 	Holder string
-	// Left is the rest of the term.
+	// Left is the time left until the lease ends.
 	Left time.Duration
-	// Firm says that a majority has voted for the holder; else it dispatches only
-	// as long as nobody holds the region.
+	// Firm means that the holder has a majority of the votes. A controller
+	// without one dispatches only while it knows of no holder.
 	Firm bool
 }
 
-// News is what a controller tells another.
+// News is the message that one controller sends another in a periodic
+// exchange, or at once when an endpoint leaves.
 type News struct {
 	From        Controller
 	Controllers []Controller
 	Gateways    []Gateway
 	Endpoints   []registry.Endpoint
-	// Asks names regions that the sender wants to dispatch; Drops, those that it
-	// gives up.
+	// Asks names regions that the sender requests the receiver's vote for;
+	// Drops, those whose votes it no longer needs.
 	Asks, Drops []string
-	// Loads are those of the regions that the sender dispatches; Loans, what these
-	// lend to others.
+	// Loads are the loads of the regions that the sender dispatches; Loans,
+	// the endpoints that these regions lend to others.
 	Loads []dispatch.Load
 	Loans []dispatch.Loan
-	// Whole asks for all endpoints that the receiver knows.
+	// Whole requests all endpoints that the receiver knows.
 	Whole bool
 }
 
-// NewsReply answers News.
+// NewsReply is the answer to News.
 type NewsReply struct {
 	From Controller
-	// Epoch and Accepted are where the voter stands.
+	// Epoch and Accepted are the voter's epoch and the last ballot that it
+	// accepted.
 	Epoch    quorum.Epoch
 	Accepted quorum.Ballot
-	// Grants are the votes for the sender's asks.
+	// Grants names the requested regions that the receiver has given its vote
+	// for.
 	Grants []string
-	// Known are the dispatchers that the receiver has voted for.
+	// Known are the leases that the receiver holds itself.
 	Known       []Lease
 	Controllers []Controller
 	Endpoints   []registry.Endpoint
 }
 
-// OrderReply answers an order.
+// OrderReply is the answer to an order.
 type OrderReply struct {
-	// Refused is fleet.ErrConflict or fleet.ErrNoChange, wrapped; nil if the order
-	// was accepted.
+	// Refused is fleet.ErrConflict or fleet.ErrNoChange, wrapped; nil if the
+	// order was accepted.
 	Refused error
-	// Chosen is the register's value after the order, in an epoch.
+	// Chosen is the register's value after the order, in epoch Epoch.
 	Epoch  quorum.Epoch
 	Chosen quorum.Accepted
 }
 
-// ControllerPeer sends messages to one controller.
+// ControllerPeer is a client of another controller.
 type ControllerPeer interface {
 	Prepare(ctx context.Context, m quorum.Prepare) (quorum.Promise, error)
 	Accept(ctx context.Context, m quorum.Accept) (*quorum.Refusal, error)
@@ -108,27 +112,28 @@
 	Order(ctx context.Context, o fleet.Order) (OrderReply, error)
 }
 
-// VoterStore keeps a voter's state.
+// VoterStore stores a voter's state.
 type VoterStore interface {
-	// Load returns the state, or false if there is none.
+	// Load returns the stored state; false if there is none.
 	Load() (quorum.State, bool, error)
-	// Save returns after the state is durable.
+	// Save returns once the state is durable.
 	Save(s quorum.State) error
 }
 
-// WatchCursor says what a gateway has been told by one incarnation of a
-// controller.
+// WatchCursor identifies the state that a gateway has received from one
+// incarnation of a controller.
 type WatchCursor struct {
 	Incarnation uint64
 	Sequence    uint64
 }
 
-// Update is what a controller tells a gateway.
+// Update is a controller's answer to a watch call.
 type Update struct {
-	// Confirmed is when a quorum confirmed the state, on this VM's clock; zero if
-	// never.
+	// Confirmed is the latest time at which a quorum confirmed the state, on
+	// this VM's clock; zero if there is none.
 	Confirmed time.Time
-	// Sequence is the state's; State is nil when the gateway has it.
+	// Sequence is the sequence of the controller's state. State is nil unless
+	// it is later than the cursor.
 	Sequence    uint64
 	State       *fleet.State
 	Dispatchers []Lease
@@ -136,31 +141,33 @@
 	Cursor      WatchCursor
 }
 
-// AskSlot asks the dispatcher of a region for a slot.
+// AskSlot requests a slot from the dispatcher of a region.
 type AskSlot struct {
 	dispatch.Ask
 	Region string
 }
 
-// SlotRelease gives a slot back.
+// SlotRelease releases a granted slot.
 type SlotRelease struct {
-	// Region is whose dispatcher granted it.
+	// Region is the region whose dispatcher granted it.
 	Region  string
 	Grant   string
 	Outcome dispatch.Outcome
 	Took    time.Duration
 }
 
-// ControllerLink is a gateway's way to one controller.
+// ControllerLink is a gateway's client of one controller.
 type ControllerLink interface {
-	// Watch gives a sign of life and returns what is new since the cursor, at the
-	// latest after a short while.
+	// Watch reports the gateway as live and returns the changes since the
+	// cursor. The controller holds the call for a short time until there is a
+	// change.
 	Watch(ctx context.Context, g Gateway, since WatchCursor) (Update, error)
 	Acquire(ctx context.Context, a AskSlot) (dispatch.Decision, error)
 	Release(ctx context.Context, r []SlotRelease) error
 }
 
-// ControllerService is what a controller serves to controllers and gateways.
+// ControllerService is the service that a controller offers to controllers and
+// gateways.
 type ControllerService interface {
 	ControllerPeer
 	ControllerLink
--- a/internal/port/gateway.go
+++ b/internal/port/gateway.go
@@ -8,62 +8,65 @@
 	"sassafrasreach/internal/core/registry"
 )
 
-// ClientRequest is a client's request at a gateway.
+// ClientRequest is a client's request received by a gateway.
 type ClientRequest struct {
-	// Request is what is sent on; its ID is the client's own for the attempt.
+	// Request is the request for the endpoint; its ID is the one that the
+	// client gave this attempt.
 	Request
-	// RouteHost, without a port, and Path select the route.
+	// RouteHost, which has no port, and Path select the route.
 	RouteHost string
 	Path      string
 	// Affinity names the object that the request concerns; empty if none.
 	Affinity string
 }
 
-// ClientAnswer ends a client's request.
+// ClientAnswer is the result of a client's request.
 type ClientAnswer struct {
 	// Response is the endpoint's answer; nil when Err is set.
 	Response *Response
 	// Err is a *verdict.Error.
 	Err error
-	// RetryAfter is when a client whose request didn't run should come back; zero
-	// if nothing is known.
+	// RetryAfter is the retry delay for a client whose request didn't run;
+	// zero if none is known.
 	RetryAfter time.Duration
 }
 
-// GatewayService is what a gateway serves to clients.
+// GatewayService is the service that a gateway offers to clients.
 type GatewayService interface {
-	// Serve carries one request. It returns when the client has gone.
+	// Serve carries one request to an endpoint. It returns early when the
+	// client disconnects, which ends ctx.
 	Serve(ctx context.Context, r *ClientRequest) ClientAnswer
-	// Limits bound what clients may send; false before a configuration is known.
+	// Limits returns the bounds of clients' requests; false before a
+	// configuration is known.
 	Limits() (fleet.Limits, bool)
-	// Ready says whether clients may be sent here.
+	// Ready reports whether clients may use this gateway.
 	Ready() bool
-	// Stopping says that a planned stop has begun.
+	// Stopping reports whether a planned stop has begun.
 	Stopping() bool
 }
 
-// Orders is what a controller serves to operators.
+// Orders is the service that a controller offers to operators.
 type Orders interface {
-	// Configure makes a change durable. The error wraps fleet.ErrInvalid,
-	// fleet.ErrConflict or ErrUnsure.
+	// Configure makes a change of the configuration durable. The error wraps
+	// fleet.ErrInvalid, fleet.ErrConflict or ErrUnsure.
 	Configure(ctx context.Context, change fleet.Change) error
-	// Evacuate makes an order durable about a failure domain.
+	// Evacuate makes the evacuation of a failure domain durable, or its end.
 	Evacuate(ctx context.Context, zone string, evacuated bool) error
 	// Current returns the newest state; the error wraps ErrUnsure.
 	Current(ctx context.Context) (*fleet.State, error)
 }
 
-// Announcements is what a controller serves to endpoints.
+// Announcements is the service that a controller offers to endpoints.
 type Announcements interface {
-	// Announce takes what an endpoint says of itself; the error wraps ErrUnsure.
+	// Announce records an endpoint's announcement; the error wraps ErrUnsure.
 	Announce(ctx context.Context, e registry.Endpoint) error
-	// SignOff takes that an endpoint is gone.
+	// SignOff records that an endpoint has ended; the error wraps ErrUnsure.
 	SignOff(ctx context.Context, id string) error
 }
 
-// Directory names gateways to clients.
+// Directory finds gateways for clients.
 type Directory interface {
-	// Nearest returns the addresses of gateways near a failure domain of a
-	// region; empty when none is known to live.
+	// Nearest returns the addresses of the gateways nearest to a failure
+	// domain of a region; empty when no ready gateway is known to be live.
 	Nearest(zone, region string) []string
 }
--- a/internal/port/peer.go
+++ b/internal/port/peer.go
@@ -9,68 +9,74 @@
 	"sassafrasreach/internal/core/membership"
 )
 
-// Hop says what the receiver of a forwarded request is to do with it.
+// Hop says which role the receiver of a forwarded request has.
 type Hop uint8
 
 const (
-	// HopHome asks the home of the request's key to claim it and to find the
-	// owner.
+	// HopHome requests that the receiver handles a once-only request as the
+	// home of its key, the entry that records the key's attempts, or reports
+	// what it knows of a key whose home is gone.
 	HopHome Hop = iota + 1
-	// HopOwner asks the owner of a group to admit the request. An owner never
-	// forwards.
+	// HopOwner requests that the owner of a group admits the request. An owner
+	// never forwards a request.
 	HopOwner
 )
 
-// Forward is a request between two entries.
+// Forward is a request that one entry sends to another.
 type Forward struct {
-	// Hop says what to do.
+	// Hop is the receiver's role.
 	Hop Hop
-	// Place names the group's place, for HopOwner.
+	// Place names the group's place; it is set for HopOwner.
 	Place string
 	// Request is the request; its Deadline is on this VM's clock.
 	Request *Request
-	// Fresh asks for a new connection, for the second try of a request whose
-	// first one is late.
+	// Fresh requests a new connection, for the second attempt of a request
+	// whose first one is late.
 	Fresh bool
 }
 
-// QuarantineRow is one fingerprint on its way between entries.
+// QuarantineRow is the quarantine state of one fingerprint, as sent between
+// entries.
 type QuarantineRow struct {
-	// Fingerprint is in hexadecimal.
+	// Fingerprint is the request's fingerprint in hexadecimal.
 	Fingerprint string
-	// Service names the service that it was seen in.
+	// Service names the service whose request has the fingerprint.
 	Service string
 	// Remaining is the time left in quarantine.
 	Remaining time.Duration
-	// Lifted takes the fingerprint out of quarantine.
+	// Lifted means that the fingerprint is taken out of quarantine.
 	Lifted bool
-	// Suspected holds the fingerprint back elsewhere.
+	// Suspected means that the receiver holds requests with the fingerprint
+	// back for the remaining time, without a quarantine.
 	Suspected bool
-	// Endpoint and Incarnation name the death that is blamed on the
-	// fingerprint; an empty Endpoint means that none is certain.
+	// Endpoint and Incarnation name the endpoint whose failure is attributed
+	// to the fingerprint; an empty Endpoint means that none is known for
+	// certain.
 	Endpoint    string
 	Incarnation uint64
-	// Version orders the rows of a fingerprint against its lifts.
+	// Version orders the changes and the lifts of a fingerprint.
 	Version uint64
 }
 
 // ErrPeerUnreachable is wrapped by the error of a Forward that never left this
-// VM. It is no word of the peer.
+// VM, so that it says nothing about the peer's state.
 var ErrPeerUnreachable = errors.New("peer unreachable")
 
-// PeerClient calls other entries. Errors of Forward are *verdict.Error.
+// PeerClient is a client of other entries. Errors of Forward are
+// *verdict.Error.
 type PeerClient interface {
 	Heartbeat(ctx context.Context, address string, hb membership.Heartbeat) (membership.Heartbeat, error)
 	Forward(ctx context.Context, address string, f Forward) (*Response, error)
 	Announce(ctx context.Context, address string, batch []Announcement) error
 	FetchDocument(ctx context.Context, address string, have uint64) (Config, error)
 	HandOver(ctx context.Context, address string, h claims.HandOver) error
-	// Quarantine tells rows to a peer. Without rows it asks for those of the peer.
+	// Quarantine sends rows to a peer. Without rows it requests the peer's
+	// rows.
 	Quarantine(ctx context.Context, address string, rows []QuarantineRow) ([]QuarantineRow, error)
 	Borrow(ctx context.Context, address string, r LoanRequest) (LoanGrant, error)
 }
 
-// PeerHandler answers other entries.
+// PeerHandler handles the calls of other entries.
 type PeerHandler interface {
 	HandleHeartbeat(hb membership.Heartbeat) membership.Heartbeat
 	HandleForward(ctx context.Context, f Forward) (*Response, error)
@@ -81,28 +87,28 @@
 	HandleBorrow(r LoanRequest) LoanGrant
 }
 
-// LoanRequest asks for a part of another entry's share of a cap.
+// LoanRequest requests a part of another entry's share of a cap.
 type LoanRequest struct {
-	// Bucket names the rule or link.
+	// Bucket names the rule or link whose cap it is.
 	Bucket string
-	// Borrower and BorrowerIncarnation say who asks.
+	// Borrower and BorrowerIncarnation identify the requesting entry.
 	Borrower            string
 	BorrowerIncarnation uint64
-	// Units is the wanted amount per second.
+	// Units is the requested amount per second.
 	Units uint64
-	// Term is the wanted duration.
+	// Term is the requested duration.
 	Term time.Duration
-	// DocumentVersion must be the lender's own.
+	// DocumentVersion must equal the lender's.
 	DocumentVersion uint64
 }
 
-// LoanGrant answers a LoanRequest; zero units refuse it.
+// LoanGrant answers a LoanRequest; zero units mean that it is refused.
 type LoanGrant struct {
 	Units uint64
 	Term  time.Duration
 }
 
-// EntryReport is what one entry says of itself to control VMs.
+// EntryReport is one entry's report to control VMs.
 type EntryReport struct {
 	Name        string
 	Place       string
@@ -111,11 +117,11 @@
 	Quarantined []string
 }
 
-// FetchQuery asks a control VM for a newer document.
+// FetchQuery requests a newer document from a control VM.
 type FetchQuery struct {
-	// Have is the version in force here.
+	// Have is the version in force at this entry.
 	Have uint64
-	// Entries are reports of this entry and of others of its place.
+	// Entries are the reports of this entry and of others of its place.
 	Entries []EntryReport
 }
 
@@ -123,13 +129,13 @@
 type FetchAnswer struct {
 	// Config is the newest version; its Document is empty when not newer.
 	Config Config
-	// Quorum says that the version was read through a quorum just now.
+	// Quorum means that the version was read through a quorum just before.
 	Quorum bool
-	// LiftedQuarantines are fingerprints to forget.
+	// LiftedQuarantines are the fingerprints whose quarantine the entry lifts.
 	LiftedQuarantines []string
 }
 
-// ControlClient asks one control VM.
+// ControlClient is a client of one control VM.
 type ControlClient interface {
 	Fetch(ctx context.Context, address string, q FetchQuery) (FetchAnswer, error)
 }
--- a/internal/port/porttest/doc.go
+++ b/internal/port/porttest/doc.go
@@ -1,3 +1,3 @@
-// Package porttest holds in-memory stand-ins of the interfaces in package port
-// for tests of the adapters.
+// Package porttest provides in-memory fakes of interfaces in package port for
+// the tests of adapters.
 package porttest
--- a/internal/port/porttest/store.go
+++ b/internal/port/porttest/store.go
@@ -13,21 +13,25 @@
 // maxAudit bounds the audit trail of a Store.
 const maxAudit = 1000
 
-// Store is a port.ConfigStore in memory with faults to switch on. Its fields
-// may be set between requests, before other goroutines use it.
+// Store is an in-memory port.ConfigStore with injectable faults. Its exported
+// fields may be set between requests, before other goroutines use it.
 type Store struct {
-	// NoQuorum makes every decision fail with port.ErrNoQuorum.
+	// NoQuorum makes every method but Status fail with port.ErrNoQuorum;
+	// Status reports that there is no quorum.
 	NoQuorum bool
-	// LoseAnswers is the number of changes whose outcome gets lost on the way
-	// back; they are decided all the same.
+	// LoseAnswers is the number of next calls whose outcome is lost: they
+	// return port.ChangeUnknown. A change is decided all the same, a lift
+	// isn't.
 	LoseAnswers int
-	// SubmitErr is returned by Submit, which then decides nothing.
+	// SubmitErr is returned by Submit and LiftQuarantine, which then decide
+	// nothing.
 	SubmitErr error
-	// BeforeSubmit runs once, before the next Submit; it may submit itself.
+	// BeforeSubmit runs once, before the next Submit; it may call Submit
+	// itself.
 	BeforeSubmit func()
-	// Entries are what Status reports.
+	// Entries is the list of entries that Status reports.
 	Entries []port.EntryStatus
-	// Lifted are the fingerprints that were lifted, with the operator.
+	// Lifted lists the operator and the fingerprint of each lift.
 	Lifted []string
 
 	mu       sync.Mutex
@@ -73,7 +77,7 @@
 	return outcome, nil
 }
 
-// decide must be called with mu held.
+// decide applies a change and records its outcome. Must hold mu.
 func (s *Store) decide(change port.Change) port.Outcome {
 	outcome := port.Outcome{ChangeID: change.ID, State: port.ChangeConflict}
 	from := s.current.Version
@@ -141,7 +145,8 @@
 	return outcome, nil
 }
 
-// SetEntries replaces what Status reports; it may be called at any time.
+// SetEntries replaces the entries that Status reports; it may be called at any
+// time.
 func (s *Store) SetEntries(entries []port.EntryStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/port/request.go
+++ b/internal/port/request.go
@@ -10,15 +10,15 @@
 	"sassafrasreach/internal/core/verdict"
 )
 
-// Request is a caller's request on its way to an endpoint.
+// Request is a caller's request for an endpoint.
 type Request struct {
 	// ID identifies this attempt; an answer must echo it.
 	ID string
-	// Service names the service that is asked for.
+	// Service names the requested service.
 	Service string
 	// Origin names the place that the caller belongs to.
 	Origin string
-	// Host is the host that was asked for; empty means the endpoint's address.
+	// Host is the requested host; empty means the endpoint's address.
 	Host string
 	// Method and Target are the HTTP method and the path with its query as the
 	// endpoint sees them.
@@ -26,14 +26,15 @@
 	Target string
 	// Header holds the end-to-end headers.
 	Header http.Header
-	// Body is held whole; it is bounded by the service's MaxBodyBytes.
+	// Body is the whole body; its length is bounded by the service's
+	// MaxBodyBytes.
 	Body []byte
-	// OnceOnly says that the request must not run twice.
+	// OnceOnly means that the request must not run twice.
 	OnceOnly bool
 	// Key is the once-only key; empty for idempotent requests.
 	Key string
-	// Deadline is the moment after which the answer is of no use, on this VM's
-	// clock. Between VMs it travels as the remaining time.
+	// Deadline is the time after which the answer is of no use, on this VM's
+	// clock. Between VMs it is sent as the remaining time.
 	Deadline time.Time
 	// MaxAnswerBytes bounds the answer's body.
 	MaxAnswerBytes int64
@@ -47,13 +48,12 @@
 	Header http.Header
 	// Body is the whole body, or its first part when Rest is set.
 	Body []byte
-	// Rest is the part of a large body that isn't held; nil when Body is the
-	// whole. A reader must treat any error but io.EOF as a truncated answer.
+	// Rest is the unread part of a large body; nil when Body is the whole. A
+	// reader must treat any error but io.EOF as a truncated answer.
 	Rest io.ReadCloser
 }
 
-// Endpoint is the address of one endpoint and the incarnation that answered
-// there.
+// Endpoint is the address of one endpoint and the incarnation that runs there.
 type Endpoint struct {
 	// ID identifies the endpoint.
 	ID string
@@ -65,12 +65,13 @@
 	Connections int
 }
 
-// Gate is what one attempt of a request passes on its way to an endpoint.
+// Gate decides right before sending whether an attempt of a request may still
+// be sent.
 type Gate interface {
-	// Open says whether the request may be sent now. Its error is a
+	// Open returns nil if the request may be sent now. Its error is a
 	// *verdict.Error with NotRun.
 	Open() error
-	// Written tells that the whole request has been written.
+	// Written is called once the whole request has been written.
 	Written()
 }
 
@@ -82,22 +83,22 @@
 // MayHaveRun for all else.
 type EndpointCaller interface {
 	// Call opens the gate, if there is one, right before the request's first
-	// byte is written; nothing is written if it stays shut.
+	// byte is written; nothing is written if Open returns an error.
 	Call(ctx context.Context, to Endpoint, req *Request, gate Gate) (*Response, error)
 	// Probe opens a new connection and closes it. Its error wraps
-	// ErrConnectionRefused when nothing listens there.
+	// ErrConnectionRefused when nothing listens at the address.
 	Probe(ctx context.Context, to Endpoint) error
 }
 
 var (
 	// ErrConnectionLost is wrapped by the error of a request whose connection
-	// was reset or closed under it: its endpoint may have ended.
+	// was reset or closed before the answer: its endpoint may have ended.
 	ErrConnectionLost = errors.New("connection lost")
 	// ErrConnectionRefused means that nothing listens at an address.
 	ErrConnectionRefused = errors.New("connection refused")
 )
 
-// Clock gives the time; tests pass their own.
+// Clock returns the time; tests use their own.
 type Clock interface {
 	Now() time.Time
 }
