--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -225,8 +225,8 @@
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
 
-// live reports whether the last response of a VM is younger than
-// livenessTimeout.
+// live reports whether a VM's last sign of life, or its last report, is younger
+// than livenessTimeout.
 func live(now, lastSeen time.Time) bool { return now.Sub(lastSeen) < livenessTimeout }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/app/controller/dispatch.go
+++ b/internal/app/controller/dispatch.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// fillPool adds to a new pool the known endpoints and the loans last reported
-// by the former dispatchers of its region and of the lending regions. Must
-// hold mu.
+// fillPool adds to a new pool the known endpoints, and the unexpired loans last
+// reported by the former dispatcher of its region and those of the regions that
+// lend to it. Must hold mu.
 func (c *Controller) fillPool(now time.Time, r *region) {
 	all, _ := c.endpoints.Since(0)
 	for _, e := range all {
--- a/internal/app/controller/doc.go
+++ b/internal/app/controller/doc.go
@@ -9,5 +9,6 @@
 // region grants the slots of the region's endpoints to gateways.
 //
 // Lock order: voter.mu, then Controller.mu. No lock is held during a call to
-// another VM; voter.mu alone is held during a write to the disk.
+// another VM; voter.mu alone is held during a write to the disk. voter.savedMu
+// may be taken under either; nothing is locked under it.
 package controller
--- a/internal/app/gateway/watch.go
+++ b/internal/app/gateway/watch.go
@@ -35,8 +35,9 @@
 	staleAfter = 1200 * time.Millisecond
 )
 
-// watch watches one controller at a time and moves to another one after a
-// failure or when the state is unconfirmed.
+// watch watches one controller at a time. It moves to another one after a
+// failure, or when the state is no longer confirmed and another one could be
+// watched.
 func (g *Gateway) watch(ctx context.Context, watcher int) {
 	address := ""
 	var cursor port.WatchCursor
