--- a/internal/app/controller/cluster_test.go
+++ b/internal/app/controller/cluster_test.go
@@ -109,8 +109,8 @@
 	return m.controller, nil
 }
 
-// call runs a function on the controller at the other end of a link. The response is
-// lost when the connection is cut before it arrives.
+// call runs a function on the controller at the other end of a link. The
+// response is lost when the connection is cut before it arrives.
 func call[A any](ctx context.Context, l link, do func(*controller.Controller) (A, error)) (A, error) {
 	var none A
 	c, err := l.reach(ctx)
@@ -280,7 +280,7 @@
 				c.wipe(addresses[0])
 				time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 				c.start(addresses[0], false)
-				time.Sleep(4 * time.Second) // until the voters were changed
+				time.Sleep(4 * time.Second) // the lost disk counts as lost until the voters are changed
 			}
 			is.NoErr(c.order(2, 5))
 			time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
--- a/internal/app/controller/confirm.go
+++ b/internal/app/controller/confirm.go
@@ -58,8 +58,9 @@
 	return epoch < c.chosenEpoch || epoch == c.chosenEpoch && !c.chosen.Ballot.Less(accepted)
 }
 
-// catchUp reads the register when, for longer than an update takes to arrive,
-// a voter has reported a later value or no value of the newest epoch is known.
+// catchUp reads the register when this controller has been behind for longer
+// than an update takes to arrive: a voter has reported a later value, or no
+// value is known to be chosen in the newest epoch.
 func (c *Controller) catchUp(ctx context.Context) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -24,8 +24,8 @@
 	// other controllers: a fifth of livenessTimeout.
 	exchangePeriod = 300 * time.Millisecond
 	// livenessTimeout is the time since its last response after which a
-	// controller or gateway counts as unreachable: a few rounds of exchanges
-	// and a slow link.
+	// controller or gateway counts as unreachable: long enough for a few rounds
+	// of exchanges over a slow link.
 	livenessTimeout = 1500 * time.Millisecond
 	// callTimeout bounds a call to another controller.
 	callTimeout = time.Second
@@ -78,9 +78,12 @@
 	proposing chan struct{}
 
 	// mu guards the fields below.
-	mu          sync.Mutex
-	peers       map[string]*peer
-	epoch       quorum.Epoch
+	mu    sync.Mutex
+	peers map[string]*peer
+	epoch quorum.Epoch
+	// chosen is the latest value known to be chosen, in epoch chosenEpoch. Its
+	// ballot is zero if it is the first value of an epoch that this controller
+	// has opened.
 	chosen      quorum.Accepted
 	chosenEpoch uint64
 	// seed is a value of epoch seedEpoch that a voter can enter the epoch
@@ -88,7 +91,8 @@
 	seed      *quorum.Value
 	seedEpoch uint64
 	state     *fleet.State
-	round     uint64
+	// round is the highest round of a ballot that was used or seen here.
+	round uint64
 	// behindSince is when behind first returned true, shifted by jitter; zero
 	// while it returns false.
 	behindSince time.Time
@@ -106,8 +110,9 @@
 	regions          map[string]*region
 	// loads holds the last reported load of each region and service; loans,
 	// the last reported loans by lending region.
-	loads    map[loadKey]reportedLoad
-	loans    map[string]reportedLoans
+	loads map[loadKey]reportedLoad
+	loans map[string]reportedLoans
+	// changed is closed and replaced at each change that watch calls wait for.
 	changed  chan struct{}
 	seeds    []string
 	stopping bool
@@ -225,8 +230,8 @@
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
 
-// live reports whether a VM's last sign of life, or its last report, is younger
-// than livenessTimeout.
+// live reports whether a VM was last known to be live, or a report was
+// received, less than livenessTimeout ago.
 func live(now, lastSeen time.Time) bool { return now.Sub(lastSeen) < livenessTimeout }
 
 func sortedKeys[V any](m map[string]V) []string {
@@ -238,8 +243,9 @@
 	return keys
 }
 
-// newDispatchSetup returns the parameters of a region's pool. The pool calls
-// its functions with mu held, as is every call to a pool.
+// newDispatchSetup returns the parameters of a region's pool. The pool's retry
+// budget is an equal share of the system's. mu is held during every call to a
+// pool, so also when the pool calls the functions given here.
 func (c *Controller) newDispatchSetup(region string) dispatch.Setup {
 	retries := c.config.Retries
 	retries.Extra /= float64(len(c.regions))
--- a/internal/app/controller/dispatch.go
+++ b/internal/app/controller/dispatch.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// fillPool adds to a new pool the known endpoints, and the unexpired loans last
-// reported by the former dispatcher of its region and those of the regions that
-// lend to it. Must hold mu.
+// fillPool adds the known endpoints to a new pool. It also adds the last
+// reported loans that haven't expired: those of its region, which the former
+// dispatcher granted, and those that other regions grant to it. Must hold mu.
 func (c *Controller) fillPool(now time.Time, r *region) {
 	all, _ := c.endpoints.Since(0)
 	for _, e := range all {
@@ -142,8 +142,8 @@
 	}
 }
 
-// updatePools adds an endpoint to the pools, or removes it if its failure
-// domain is evacuated. Must hold mu.
+// updatePools adds an endpoint to the pools or updates it there, or removes it
+// if its failure domain is evacuated. Must hold mu.
 func (c *Controller) updatePools(e registry.Endpoint) {
 	now := c.ports.Clock.Now()
 	for _, r := range c.regions {
@@ -178,8 +178,8 @@
 	return best.Address == c.config.Address
 }
 
-// requestedRegions returns the regions that this controller requests the votes
-// for, and gives its own vote. Must hold mu.
+// requestedRegions returns the regions for which this controller requests
+// votes, and requests its own voter's vote for each. Must hold mu.
 func (c *Controller) requestedRegions(now time.Time) []string {
 	var out []string
 	for name, r := range c.regions {
@@ -192,8 +192,8 @@
 	return out
 }
 
-// releasedRegions returns the regions whose votes are to be dropped. Must hold
-// mu.
+// releasedRegions returns the regions for which other controllers are to drop
+// their votes for this one. Must hold mu.
 func (c *Controller) releasedRegions() []string {
 	var out []string
 	for name, r := range c.regions {
@@ -335,7 +335,8 @@
 	return nil
 }
 
-// tick ends waits and grants that have timed out.
+// tick ends the dispatch of regions that this controller may no longer
+// dispatch, and waits and grants that have timed out.
 func (c *Controller) tick() {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
--- a/internal/app/controller/doc.go
+++ b/internal/app/controller/doc.go
@@ -1,7 +1,8 @@
 // Package controller implements a controller: a VM with a disk that votes on the
 // configuration state, accepts operators' orders and endpoints' announcements,
-// sends gateways the state in force, and dispatches the requests of a region
-// while it holds the region's lease.
+// sends gateways the state in force, and dispatches the requests of the regions
+// whose leases it holds. Without a majority of the votes it also dispatches a
+// region for which it is the preferred controller and knows of no other holder.
 //
 // A voter is a controller whose disk takes part in the quorum of the current
 // epoch. The coordinator is the live voter with the lowest address: it makes the
--- a/internal/app/controller/endpoints.go
+++ b/internal/app/controller/endpoints.go
@@ -18,9 +18,9 @@
 const spreadTimeout = 800 * time.Millisecond
 
 // Announce records an endpoint's announcement. An announcement that the
-// endpoint leaves is sent to all live controllers at once and acknowledged
-// only after a majority of the voters has received it; otherwise the error
-// wraps port.ErrUnsure.
+// endpoint leaves is sent to all live controllers at once, the dispatchers
+// among them. It is acknowledged once all these calls have ended, if a majority
+// of the voters has received it; otherwise the error wraps port.ErrUnsure.
 func (c *Controller) Announce(ctx context.Context, e registry.Endpoint) error {
 	c.mu.Lock()
 	c.receiveAnnouncement(e)
--- a/internal/app/controller/orders.go
+++ b/internal/app/controller/orders.go
@@ -63,8 +63,8 @@
 }
 
 // submit forwards an order to the coordinator, so that proposers don't
-// collide. When the coordinator can't be reached, this controller makes the
-// order durable itself.
+// collide. When that call fails, or no other coordinator is known, this
+// controller makes the order durable itself.
 func (c *Controller) submit(ctx context.Context, o fleet.Order) (port.OrderReply, error) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
--- a/internal/app/controller/peers.go
+++ b/internal/app/controller/peers.go
@@ -32,14 +32,16 @@
 	acked uint64
 	// roundTrip is the moving average of the duration of an exchange.
 	roundTrip time.Duration
-	// addedAt is when this controller first tried to reach it.
-	addedAt  time.Time
+	// addedAt is when it was added to the peers.
+	addedAt time.Time
+	// inFlight is set during a periodic exchange with the peer.
 	inFlight bool
-	lost     bool
+	// lost is set while the peer counts as unreachable.
+	lost bool
 }
 
-// roundTripWeight is the divisor that weights a new sample of a peer's round
-// trip.
+// roundTripWeight is the divisor that gives the weight of a new sample in the
+// moving average of a peer's round trip.
 const roundTripWeight = 8
 
 func (p *peer) recordRoundTrip(took time.Duration) {
@@ -167,9 +169,9 @@
 	return b
 }
 
-// exchange returns the message for a peer: the endpoints announced here that
-// it hasn't acknowledged, or all endpoints if it has acknowledged none. Must
-// hold mu.
+// exchange returns the message for a peer. Its endpoints are those announced
+// here that the peer hasn't acknowledged, or all if it has acknowledged none.
+// Must hold mu.
 func (c *Controller) exchange(now time.Time, p *peer) port.News {
 	n := port.News{
 		From: c.self(now), Controllers: c.liveControllers(now), Gateways: c.ownGateways(now),
@@ -274,8 +276,9 @@
 	return reply, nil
 }
 
-// pollVoters requests the voting state of the other voters, until as many have
-// answered as a majority needs or all calls have ended.
+// pollVoters requests the voting state of the other voters and waits until as
+// many of them as make a majority have answered, all calls have ended, or ctx
+// ends.
 func (c *Controller) pollVoters(ctx context.Context) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
--- a/internal/app/controller/propose.go
+++ b/internal/app/controller/propose.go
@@ -159,8 +159,8 @@
 	refusal *quorum.Refusal
 }
 
-// runAttempt sends the attempt's messages until it is chosen, outdated or
-// declined, no more answers will come, or ctx ends.
+// runAttempt sends the attempt's messages until its value is chosen, the
+// attempt is outdated or declined, no more answers will come, or ctx ends.
 func (c *Controller) runAttempt(ctx context.Context, epoch quorum.Epoch, a *quorum.Attempt) {
 	answers := make(chan answer, 2*len(epoch.Voters))
 	left := c.broadcast(epoch, answers, func(p port.ControllerPeer, to string) (answer, error) {
@@ -230,8 +230,9 @@
 	return len(epoch.Voters)
 }
 
-// announceChosen sends a chosen value to all live controllers. A value that
-// seals the epoch opens the next one here instead.
+// announceChosen sends a chosen value to all live controllers; a voter is sent
+// its ballot alone, and the value only if that call fails. A value that seals
+// the epoch isn't sent: it opens the next epoch here.
 func (c *Controller) announceChosen(epoch quorum.Epoch, chosen quorum.Accepted) {
 	if next, seed, sealed := quorum.Following(epoch, chosen.Value); sealed {
 		c.openEpoch(epoch, next, seed, chosen)
--- a/internal/app/controller/shares.go
+++ b/internal/app/controller/shares.go
@@ -55,8 +55,8 @@
 	return loads, loans
 }
 
-// logLoans logs the loans of a region whose number of endpoints has changed.
-// Must hold mu.
+// logLoans logs each change in the number of endpoints that a region lends to
+// another one. Must hold mu.
 func (c *Controller) logLoans(lender string, loans []dispatch.Loan) {
 	before, after := make(map[string]int), make(map[string]int)
 	for _, l := range c.loans[lender].loans {
--- a/internal/app/controller/voters.go
+++ b/internal/app/controller/voters.go
@@ -18,8 +18,8 @@
 	// retireAfter is how long a voter has to be unreachable before it is
 	// removed without a replacement.
 	retireAfter = 12 * time.Second
-	// minVoters is the number of voters at which none is removed without a
-	// replacement.
+	// minVoters is the smallest number of voters that remain after one is
+	// removed without a replacement.
 	minVoters = 3
 	// maxVoters bounds the voters of an epoch: each further one adds little
 	// safety and slows every order.
--- a/internal/app/controller/watch.go
+++ b/internal/app/controller/watch.go
@@ -69,7 +69,8 @@
 	c.gateways[g.Address] = g
 }
 
-// ownGateways returns the gateways that watch this controller. Must hold mu.
+// ownGateways returns the gateways that watch this controller. It also removes
+// the gateways that have been unreachable for gatewayRetention. Must hold mu.
 func (c *Controller) ownGateways(now time.Time) []port.Gateway {
 	var out []port.Gateway
 	for address, at := range c.watchers {
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -43,8 +43,9 @@
 	table       atomic.Pointer[fleet.Table]
 
 	// mu guards the fields below.
-	mu       sync.Mutex
-	seeds    []string
+	mu    sync.Mutex
+	seeds []string
+	// sequence is the sequence of the applied state.
 	sequence uint64
 	// newest is the sequence of the latest state that a controller reported;
 	// newestSince is when that was first reported.
@@ -52,7 +53,8 @@
 	newestSince time.Time
 	links       map[string]port.ControllerLink
 	known       map[string]port.Controller
-	avoidUntil  map[string]time.Time
+	// avoidUntil is until when a controller isn't picked for watching.
+	avoidUntil map[string]time.Time
 	// skipUntil is until when no slots are requested from an unresponsive
 	// controller.
 	skipUntil map[string]time.Time
@@ -60,7 +62,8 @@
 	// controller.
 	timeouts map[string]int
 	// lastEndpoint maps an object to the endpoint that last served it.
-	lastEndpoint  map[string]string
+	lastEndpoint map[string]string
+	// watched is the address of the controller that each watcher watches.
 	watched       [watcherCount]string
 	dispatchers   map[string]dispatcher
 	releaseQueues map[string]*releaseQueue
--- a/internal/app/gateway/locate.go
+++ b/internal/app/gateway/locate.go
@@ -14,7 +14,7 @@
 
 const (
 	// unresponsiveFor is how long no slots are requested from a controller
-	// that didn't answer: about as long as until a lease ends.
+	// that didn't answer: a lease takes about as long to expire.
 	unresponsiveFor = time.Second
 	// maxTimeouts is the number of consecutive timeouts after which a
 	// controller counts as unresponsive: a lost packet alone causes one.
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -32,7 +32,7 @@
 	// trips to another region.
 	minAcquireTimeout = 600 * time.Millisecond
 	// noDispatcherRetry is the retry delay given to clients while no
-	// dispatcher is known: about as long as until a lease ends.
+	// dispatcher is known: a lease takes about as long to expire.
 	noDispatcherRetry = 500 * time.Millisecond
 )
 
@@ -122,7 +122,8 @@
 		case dispatch.ReasonNoEndpoint:
 			reason = verdict.ReasonNoEndpoint
 		case dispatch.ReasonRetryBudget:
-			// Endpoints refused it although they had free slots.
+			// The earlier attempts were granted slots, so that slots aren't
+			// what is short.
 			reason, retryAfter = verdict.ReasonShed, refusedRetry
 		}
 		return x.withoutSlot(ctx, reason, nil, retryAfter), false
@@ -130,8 +131,8 @@
 	return x.send(ctx, slot, address)
 }
 
-// withoutSlot returns the answer of a request that got no slot. If an earlier
-// attempt may have run, its error is the answer.
+// withoutSlot returns the answer of a request that got no slot, or got one too
+// late to be sent. If an earlier attempt may have run, its error is the answer.
 func (x *inFlightRequest) withoutSlot(ctx context.Context, reason verdict.Reason, err error, retryAfter time.Duration) port.ClientAnswer {
 	if x.uncertainErr != nil {
 		return port.ClientAnswer{Err: x.uncertainErr}
@@ -186,9 +187,9 @@
 	}
 }
 
-// refusedRetry is the retry delay given to a client whose request was refused
-// by endpoints with a free slot: short, since it doesn't have to wait for a
-// slot.
+// refusedRetry is the retry delay given to a client whose request was granted a
+// slot but didn't run, as when the endpoint refused it: short, since it doesn't
+// have to wait for a slot.
 const refusedRetry = 50 * time.Millisecond
 
 // dispatchRetry is the retry delay given to a client for which no slot became
--- a/internal/app/gateway/serve_test.go
+++ b/internal/app/gateway/serve_test.go
@@ -105,7 +105,7 @@
 func (e *endpoints) Probe(context.Context, port.Endpoint) error { return nil }
 
 func serve(t *testing.T, c *fakeController, e *endpoints, path string) port.ClientAnswer {
-	g := started(t, c, e)
+	g := startGateway(t, c, e)
 	return g.Serve(t.Context(), request(path))
 }
 
@@ -116,8 +116,8 @@
 	}
 }
 
-// started returns a running gateway that has received its routes.
-func started(t *testing.T, c *fakeController, e *endpoints) *gateway.Gateway {
+// startGateway returns a running gateway that has received its routes.
+func startGateway(t *testing.T, c *fakeController, e *endpoints) *gateway.Gateway {
 	g := gateway.New(gateway.Config{Name: "g", Zone: "east-1", Region: "east", Seeds: []string{"c:1"}}, gateway.Ports{
 		Clock: port.ClockFunc(time.Now), Logger: slog.New(slog.NewTextHandler(io.Discard, nil)), Endpoints: e, Meter: metrics.New(),
 		Dial: func(string) (port.ControllerLink, error) { return c, nil },
@@ -145,7 +145,7 @@
 		}
 		return dispatch.Decision{Grant: "x", Endpoint: registry.Endpoint{ID: "e"}}, nil
 	}
-	g := started(t, c, &endpoints{ends: []error{nil}})
+	g := startGateway(t, c, &endpoints{ends: []error{nil}})
 	is.True(g.Serve(t.Context(), request("/once/")).Err != nil)
 	is.NoErr(g.Serve(t.Context(), request("/once/")).Err)
 	c.mu.Lock()
--- a/internal/app/gateway/watch.go
+++ b/internal/app/gateway/watch.go
@@ -66,8 +66,9 @@
 }
 
 // requestCursor returns the cursor of a watcher's next call. The second
-// watcher skips the states that the first one, which is nearby, will receive,
-// unless the first lags behind.
+// watcher skips the states that the first one, which watches a nearby
+// controller, will receive, unless the first lags behind or no state was
+// applied yet.
 func (g *Gateway) requestCursor(watcher int, cursor port.WatchCursor) port.WatchCursor {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -117,7 +118,8 @@
 	return l, nil
 }
 
-// stopWatching makes a watcher pass a controller over for a while.
+// stopWatching ends the watching of a controller, which no watcher picks again
+// for avoidFor.
 func (g *Gateway) stopWatching(now time.Time, watcher int, address string, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -155,9 +157,9 @@
 	return other != "" && other != than
 }
 
-// bestController returns the best controller for a watcher: nearby for the first
-// watcher, of another region for the second; equal ones are drawn at random.
-// Must hold mu.
+// bestController returns the best controller for a watcher: nearby for the
+// first watcher, of another region for the second; one of equally good ones is
+// chosen at random. Must hold mu.
 func (g *Gateway) bestController(now time.Time, watcher int) string {
 	type candidate struct {
 		address string
@@ -198,7 +200,8 @@
 }
 
 // apply applies a controller's update: the state if it is newer, the leases
-// and the controllers.
+// and the controllers. These replace the known controllers, or are only added
+// to them if the update's confirmation is stale.
 func (g *Gateway) apply(now time.Time, u port.Update) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/port/fleet.go
+++ b/internal/port/fleet.go
@@ -30,7 +30,7 @@
 	Zone, Region string
 	// Incarnation is its start time in Unix nanoseconds.
 	Incarnation uint64
-	// Heard is the time of its last sign of life, on this VM's clock.
+	// Heard is when it was last known to be live, on this VM's clock.
 	Heard time.Time
 }
 
@@ -42,7 +42,7 @@
 	Incarnation  uint64
 	// Ready means that clients may use it.
 	Ready bool
-	// Heard is the time of its last sign of life, on this VM's clock.
+	// Heard is when it was last known to be live, on this VM's clock.
 	Heard time.Time
 }
 
