--- a/internal/core/quorum/acceptor.go
+++ b/internal/core/quorum/acceptor.go
@@ -1,28 +1,30 @@
 package quorum
 
-// State is what a voter keeps on its disk.
+// State is the durable state of a voter.
 type State struct {
-	// ID names the disk.
+	// ID identifies the disk.
 	ID string `json:"ID"`
-	// Epoch is the newest that the voter has entered; its number is zero before
-	// the first.
+	// Epoch is the newest epoch that the voter has entered; its number is zero if
+	// it has entered none.
 	Epoch Epoch `json:"Epoch"`
-	// Promised is never below the ballot of Accepted.
+	// Promised is the highest promised ballot of the epoch. It is never below the
+	// ballot of Accepted.
 	Promised Ballot   `json:"Promised"`
 	Accepted Accepted `json:"Accepted"`
 }
 
-// Acceptor is the voting half of a member. It is not safe for concurrent use.
+// Acceptor is the Paxos acceptor of a voter. It is not safe for concurrent use.
 type Acceptor struct{ state State }
 
-// NewAcceptor returns an acceptor that goes on from a state on disk.
+// NewAcceptor returns an acceptor that resumes from a stored state.
 func NewAcceptor(state State) *Acceptor { return &Acceptor{state: state} }
 
-// FounderID is the disk ID of a founding voter at an address. Only a process
-// that is told that the system starts for the first time may take it.
+// FounderID is the disk ID of a founding voter at an address. A process may use it
+// only if it is configured to start the system for the first time.
 func FounderID(address string) string { return "founder@" + address }
 
-// Founding returns the first epoch: the disks of the processes at addresses.
+// Founding returns the first epoch. Its voters are the disks of the processes at
+// addresses.
 func Founding(addresses []string) Epoch {
 	epoch := Epoch{Number: 1}
 	for _, a := range addresses {
@@ -31,11 +33,12 @@
 	return epoch
 }
 
-// State returns the state that must be durable before any answer that changed
-// it is sent.
+// State returns the current state. After a call that changed it, the caller
+// must make it durable before it sends the answer.
 func (a *Acceptor) State() State { return a.state }
 
-// Prepare gives or refuses a promise. The flag says whether the state changed.
+// Prepare gives or refuses a promise, and enters the epoch of the message if it is
+// later than the voter's. The flag says whether the state changed.
 func (a *Acceptor) Prepare(m Prepare) (Promise, bool) {
 	entered, refusal := a.enter(m.To, m.Epoch, m.Seed)
 	if refusal != nil {
@@ -53,9 +56,10 @@
 	return promise, changed
 }
 
-// Accept accepts or refuses a value. The flag says whether the state changed.
+// Accept accepts or refuses a value. Unlike Prepare it doesn't enter an epoch. The
+// flag says whether the state changed.
 func (a *Acceptor) Accept(m Accept) (*Refusal, bool) {
-	if refusal := a.refuse(m.To, m.Epoch); refusal != nil {
+	if refusal := a.checkTarget(m.To, m.Epoch); refusal != nil {
 		return refusal, false
 	}
 	if m.Epoch.Number != a.state.Epoch.Number {
@@ -70,8 +74,9 @@
 	return nil, changed
 }
 
-// refuse says why a message for a disk and an epoch can't be served at all.
-func (a *Acceptor) refuse(to string, epoch Epoch) *Refusal {
+// checkTarget returns a refusal if the message is for another disk, for an epoch
+// that doesn't name the disk, or for an epoch older than the voter's.
+func (a *Acceptor) checkTarget(to string, epoch Epoch) *Refusal {
 	switch {
 	case to != a.state.ID || !epoch.Has(to):
 		return &Refusal{Stranger: true, Newer: a.newer(epoch)}
@@ -82,6 +87,7 @@
 	}
 }
 
+// newer returns the voter's epoch if it is later than epoch, otherwise none.
 func (a *Acceptor) newer(epoch Epoch) Epoch {
 	if a.state.Epoch.Number > epoch.Number {
 		return a.state.Epoch
@@ -89,10 +95,10 @@
 	return Epoch{}
 }
 
-// enter makes the voter take part in a later epoch. The founding epoch begins
-// without a value; any other needs its first one.
+// enter makes the voter enter a later epoch. The founding epoch may begin without
+// a value; any other needs a seed.
 func (a *Acceptor) enter(to string, epoch Epoch, seed *Value) (entered bool, refusal *Refusal) {
-	if refusal := a.refuse(to, epoch); refusal != nil {
+	if refusal := a.checkTarget(to, epoch); refusal != nil {
 		return false, refusal
 	}
 	if epoch.Number == a.state.Epoch.Number {
--- a/internal/core/quorum/attempt.go
+++ b/internal/core/quorum/attempt.go
@@ -1,23 +1,25 @@
 package quorum
 
-// Phase is how far an attempt has come.
+// Phase is the progress of an attempt.
 type Phase uint8
 
 const (
-	// Preparing waits for promises.
+	// Preparing means that the attempt waits for a majority of promises.
 	Preparing Phase = iota
-	// Accepting waits for acceptances: the value may become chosen.
+	// Accepting means that the attempt waits for a majority of acceptances. The
+	// value may become chosen even if the attempt never learns it.
 	Accepting
 	// Chosen means that a majority accepted the value.
 	Chosen
-	// Outdated means that a higher ballot or a later epoch stands in the way.
+	// Outdated means that a voter refused because of a higher ballot or a later
+	// epoch.
 	Outdated
-	// Declined means that the change can't be made in an empty register; nothing
+	// Declined means that Decide returned an error for an empty register. Nothing
 	// was proposed.
 	Declined
 )
 
-// Decide computes the value to accept from the current one, nil when the
+// Decide computes the value to propose from the current one, which is nil when the
 // register is empty. An error declines the change.
 type Decide func(current *Value) (*Value, error)
 
@@ -40,9 +42,10 @@
 	err      error
 }
 
-// NewAttempt returns an attempt under a ballot that no other attempt has. The
+// NewAttempt returns an attempt under a ballot that no other attempt uses. The
 // seed is a value of the epoch for voters that haven't entered it; it may be nil.
-// The proposer has what was accepted under a ballot of the epoch; it may be none.
+// The proposer already has the value of have, which was accepted in the epoch, so
+// that voters omit it from their promises; have may be zero.
 func NewAttempt(epoch Epoch, ballot Ballot, seed *Value, have Accepted, decide Decide) *Attempt {
 	return &Attempt{
 		epoch: epoch, ballot: ballot, seed: seed, have: have, decide: decide, seen: ballot,
@@ -50,15 +53,15 @@
 	}
 }
 
-// Prepare returns the message to a voter that starts the attempt.
+// Prepare returns the message that starts the attempt, for one voter.
 func (a *Attempt) Prepare(to string) Prepare {
 	return Prepare{To: to, Epoch: a.epoch, Ballot: a.ballot, Seed: a.seed, Have: a.have.Ballot}
 }
 
-// Promise takes a voter's answer. It returns true when Accept is to be sent to
-// every voter.
+// Promise handles a voter's answer to Prepare. It returns true when a majority has
+// promised and Accept is to be sent to every voter.
 func (a *Attempt) Promise(from string, m Promise) bool {
-	if a.refused(m.Refusal) || a.phase != Preparing || !a.epoch.Has(from) {
+	if a.recordRefusal(m.Refusal) || a.phase != Preparing || !a.epoch.Has(from) {
 		return false
 	}
 	a.promised[from] = true
@@ -74,9 +77,9 @@
 	return a.propose()
 }
 
-// propose decides the value. A sealed epoch keeps its last value. A change that
-// is declined accepts the current value again, so that what it was judged by is
-// known to be chosen.
+// propose selects the value to propose. A sealed epoch keeps its last value. If the
+// change is declined, the current value is proposed again: once it is chosen, it
+// is certain that the change was declined because of a chosen value.
 func (a *Attempt) propose() bool {
 	a.phase = Accepting
 	if current := a.highest.Value; current != nil && current.Next != nil {
@@ -94,15 +97,15 @@
 	return true
 }
 
-// Accept returns the message to a voter after Promise returned true.
+// Accept returns the message for one voter after Promise returned true.
 func (a *Attempt) Accept(to string) Accept {
 	return Accept{To: to, Epoch: a.epoch, Ballot: a.ballot, Value: a.proposed}
 }
 
-// Accepted takes a voter's answer. It returns true when the value was chosen
-// by it.
+// Accepted handles a voter's answer to Accept. It returns true when this answer
+// completes the majority, so that the value is chosen.
 func (a *Attempt) Accepted(from string, refusal *Refusal) bool {
-	if a.refused(refusal) || a.phase != Accepting || !a.epoch.Has(from) {
+	if a.recordRefusal(refusal) || a.phase != Accepting || !a.epoch.Has(from) {
 		return false
 	}
 	a.accepted[from] = true
@@ -113,8 +116,10 @@
 	return true
 }
 
-// refused takes note of a refusal. A stranger is only missing from the majority.
-func (a *Attempt) refused(r *Refusal) bool {
+// recordRefusal records a refusal and says whether there is one. A voter that can't
+// vote in the epoch doesn't count for the majority, but doesn't end the attempt
+// either.
+func (a *Attempt) recordRefusal(r *Refusal) bool {
 	if r == nil {
 		return false
 	}
@@ -130,28 +135,30 @@
 	return true
 }
 
-// Phase returns how far the attempt has come.
+// Phase returns the progress of the attempt.
 func (a *Attempt) Phase() Phase { return a.phase }
 
-// Err returns why the change was declined. In phase Chosen the register's value
-// stayed as it was then.
+// Err returns the error of Decide; nil if the change wasn't declined. If it isn't
+// nil in phase Chosen, the register's value was chosen again unchanged.
 func (a *Attempt) Err() error { return a.err }
 
-// Seen returns the highest ballot that was heard of.
+// Seen returns the highest of the attempt's ballot and those that refusals
+// reported.
 func (a *Attempt) Seen() Ballot { return a.seen }
 
-// Newer returns the latest epoch that was heard of; its number is zero if none.
+// Newer returns the latest epoch after the attempt's that refusals reported; its
+// number is zero if there is none.
 func (a *Attempt) Newer() Epoch { return a.newer }
 
-// Kept says that the epoch was sealed already, so that the change wasn't made.
+// Kept says that the epoch was already sealed, so that the change wasn't made.
 func (a *Attempt) Kept() bool { return a.kept }
 
-// Result returns the value of the attempt and its ballot; in phase Chosen it
-// was chosen.
+// Result returns the proposed value and the attempt's ballot. In phase Chosen the
+// value was chosen.
 func (a *Attempt) Result() Accepted { return Accepted{Ballot: a.ballot, Value: a.proposed} }
 
-// Seed returns a value that voters which haven't entered the epoch can enter it
-// with; nil if no voter reported one.
+// Seed returns a value with which other voters can enter the epoch: the newest
+// that voters reported, otherwise the seed of the attempt, which may be nil.
 func (a *Attempt) Seed() *Value {
 	if a.highest.Value != nil {
 		return a.highest.Value
@@ -159,8 +166,8 @@
 	return a.seed
 }
 
-// Following returns the epoch that a chosen value opens and the first value of
-// it; false if the value seals nothing.
+// Following returns the next epoch and its first value after a chosen value that
+// seals its epoch. It returns false if the value doesn't seal it.
 func Following(epoch Epoch, v *Value) (Epoch, *Value, bool) {
 	if v == nil || v.Next == nil {
 		return Epoch{}, nil, false
--- a/internal/core/quorum/explore_test.go
+++ b/internal/core/quorum/explore_test.go
@@ -10,37 +10,39 @@
 	"sassafrasreach/internal/core/quorum"
 )
 
-// The explorer plays random schedules of proposers and voters: messages are
-// delayed, dropped, doubled and reordered, proposers crash, disks are lost and
-// come back under other IDs, voters change. It holds every chosen value against
-// one chain: each value that was chosen is followed only by values made from it.
+// The explorer simulates random schedules of proposers and voters: messages are
+// delayed, dropped, duplicated and reordered, proposers crash, disks are lost and
+// replaced by ones with other IDs, and voters change. It checks that the chosen
+// values form one chain: after a value is chosen, only values made from it are.
 
 const (
-	// explorerDisks bounds the disks that exist at a time.
+	// explorerDisks is the largest number of disks that exist at a time.
 	explorerDisks = 7
 	explorerSteps = 400
-	// schedules with fixed seeds run each time.
+	// schedules is the number of schedules of TestExplorer. Their seeds begin at 0.
 	schedules = 100_000
-	// schedulesPlanted bounds the search for a planted fault.
+	// schedulesPlanted is the largest number of schedules in the search for a
+	// planted fault.
 	schedulesPlanted = 30_000
 )
 
-// errFork means that two values were chosen of which neither follows the other.
+// errFork means that two values were chosen and neither was made from the other.
 var errFork = errors.New("chosen values fork")
 
-// fault is planted to show that the explorer finds it.
+// fault is a defect planted to show that the explorer finds it.
 type fault uint8
 
 const (
-	sound fault = iota
-	// forgetfulVoter keeps its ID when its disk is lost.
-	forgetfulVoter
-	// smallQuorum decides with one voter fewer than a majority.
+	noFault fault = iota
+	// reusedDiskID lets the replacement of a lost disk keep its ID.
+	reusedDiskID
+	// smallQuorum lets a proposer decide with a majority of all voters but one.
 	smallQuorum
-	// emptyEntry lets voters enter a later epoch without its first value.
-	emptyEntry
-	// foundsTwice lets a disk that was lost found the system again.
-	foundsTwice
+	// entryWithoutValue lets voters enter a later epoch without its first value.
+	entryWithoutValue
+	// reusedFounderID lets the replacement of a founder's lost disk keep its ID, so
+	// that it founds the system again.
+	reusedFounderID
 )
 
 type packet struct {
@@ -54,17 +56,17 @@
 }
 
 type proposal struct {
-	attempt *quorum.Attempt
-	epoch   quorum.Epoch
-	by      *proposer
+	attempt  *quorum.Attempt
+	epoch    quorum.Epoch
+	proposer *proposer
 }
 
 type proposer struct {
-	name  string
-	round uint64
-	epoch quorum.Epoch
-	seed  *quorum.Value
-	now   *proposal
+	name    string
+	round   uint64
+	epoch   quorum.Epoch
+	seed    *quorum.Value
+	current *proposal
 }
 
 type sim struct {
@@ -73,12 +75,13 @@
 	voters    map[string]*quorum.Acceptor
 	proposers []*proposer
 	net       []packet
-	fresh     int
-	lost      int
-	// history holds what was chosen: the parent of each value by its name.
+	diskCount int
+	losses    int
+	// parents maps the name of each proposed value to that of the value it was
+	// made from; newest is the name of the chosen value at the end of the chain.
 	parents map[string]string
 	chosen  map[string]bool
-	tip     string
+	newest  string
 	values  int
 }
 
@@ -92,7 +95,7 @@
 		s.voters[v.ID] = quorum.NewAcceptor(quorum.State{ID: v.ID})
 	}
 	for range 3 {
-		s.add()
+		s.addDisk()
 	}
 	for i := range 3 {
 		s.proposers = append(s.proposers, &proposer{name: fmt.Sprint("p", i), epoch: founding})
@@ -100,16 +103,16 @@
 	return s
 }
 
-// add brings a new empty disk.
-func (s *sim) add() string {
-	s.fresh++
-	id := fmt.Sprint("d", s.fresh)
+// addDisk adds an empty disk with a new ID and returns the ID.
+func (s *sim) addDisk() string {
+	s.diskCount++
+	id := fmt.Sprint("d", s.diskCount)
 	s.voters[id] = quorum.NewAcceptor(quorum.State{ID: id})
 	return id
 }
 
-// decide makes a new value from the current one; now and then it changes the
-// voters.
+// decide makes a new value from the current one. With a probability of 1/4 it
+// changes the voters too.
 func (s *sim) decide(current *quorum.Value) (*quorum.Value, error) {
 	s.values++
 	name := fmt.Sprint("v", s.values)
@@ -119,13 +122,13 @@
 		s.parents[name] = string(current.State)
 	}
 	if s.rng.IntN(4) == 0 {
-		next.Next = s.electorate()
+		next.Next = s.randomVoters()
 	}
 	return next, nil
 }
 
-// electorate draws three to five disks that exist.
-func (s *sim) electorate() []quorum.Voter {
+// randomVoters draws three to five of the existing disks.
+func (s *sim) randomVoters() []quorum.Voter {
 	ids := make([]string, 0, len(s.voters))
 	for id := range s.voters {
 		ids = append(ids, id)
@@ -145,56 +148,56 @@
 	decide := s.decide
 	epoch := p.epoch
 	if s.fault == smallQuorum && len(epoch.Voters) > 2 {
-		// A majority of a set without its last voter is one too few for the set.
+		// With an even number of voters, a majority of all but one is one too few.
 		epoch.Voters = epoch.Voters[:len(epoch.Voters)-1]
 		if s.rng.IntN(2) == 0 {
 			epoch.Voters = p.epoch.Voters[1:]
 		}
 	}
 	a := quorum.NewAttempt(epoch, ballot, p.seed, quorum.Accepted{}, decide)
-	p.now = &proposal{attempt: a, epoch: epoch, by: p}
+	p.current = &proposal{attempt: a, epoch: epoch, proposer: p}
 	for _, v := range epoch.Voters {
 		m := a.Prepare(v.ID)
-		s.net = append(s.net, packet{to: v.ID, attempt: p.now, prepare: &m})
+		s.net = append(s.net, packet{to: v.ID, attempt: p.current, prepare: &m})
 	}
 }
 
-// deliver hands one packet over.
+// deliver hands one packet to its voter or proposer.
 func (s *sim) deliver(m packet) error {
 	switch {
 	case m.prepare != nil || m.accept != nil:
-		s.atVoter(m)
+		s.deliverToVoter(m)
 		return nil
-	case m.attempt.by.now != m.attempt:
-		return nil // its proposer crashed or went on
+	case m.attempt.proposer.current != m.attempt:
+		return nil // the proposer crashed or ended this attempt
 	default:
-		return s.atProposer(m)
+		return s.deliverToProposer(m)
 	}
 }
 
-func (s *sim) atVoter(m packet) {
+func (s *sim) deliverToVoter(m packet) {
 	voter := s.voters[m.to]
 	if voter == nil {
 		return
 	}
-	back := packet{from: m.to, attempt: m.attempt}
+	answer := packet{from: m.to, attempt: m.attempt}
 	if m.prepare != nil {
 		prepare := *m.prepare
-		if s.fault == emptyEntry && prepare.Seed == nil && prepare.Epoch.Number > voter.State().Epoch.Number {
+		if s.fault == entryWithoutValue && prepare.Seed == nil && prepare.Epoch.Number > voter.State().Epoch.Number {
 			prepare.Seed = &quorum.Value{State: []byte("")}
 		}
 		promise, _ := voter.Prepare(prepare)
-		back.promise = &promise
+		answer.promise = &promise
 	} else {
 		accept := *m.accept
-		back.refusal, _ = voter.Accept(accept)
-		back.accepted = true
+		answer.refusal, _ = voter.Accept(accept)
+		answer.accepted = true
 	}
-	s.net = append(s.net, back)
+	s.net = append(s.net, answer)
 }
 
-func (s *sim) atProposer(m packet) error {
-	a, p := m.attempt.attempt, m.attempt.by
+func (s *sim) deliverToProposer(m packet) error {
+	a, p := m.attempt.attempt, m.attempt.proposer
 	if m.promise != nil && a.Promise(m.from, *m.promise) {
 		for _, v := range m.attempt.epoch.Voters {
 			accept := a.Accept(v.ID)
@@ -206,8 +209,8 @@
 	}
 	switch a.Phase() {
 	case quorum.Chosen:
-		p.now = nil
-		return s.wasChosen(p, a.Result().Value)
+		p.current = nil
+		return s.recordChosen(p, a.Result().Value)
 	case quorum.Outdated:
 		p.round = max(p.round, a.Seen().Round)
 		if seed := a.Seed(); seed != nil {
@@ -216,22 +219,22 @@
 		if newer := a.Newer(); newer.Number > p.epoch.Number {
 			p.epoch, p.seed = newer, nil
 		}
-		p.now = nil
+		p.current = nil
 	default:
 	}
 	return nil
 }
 
-// wasChosen holds a chosen value against the chain of those before.
-func (s *sim) wasChosen(p *proposer, v *quorum.Value) error {
+// recordChosen checks a chosen value against the chain of those chosen before.
+func (s *sim) recordChosen(p *proposer, v *quorum.Value) error {
 	name := string(v.State)
 	if !s.chosen[name] {
-		if !s.follows(name, s.tip) && !s.follows(s.tip, name) {
-			return fmt.Errorf("%w: %s and %s", errFork, s.tip, name)
+		if !s.follows(name, s.newest) && !s.follows(s.newest, name) {
+			return fmt.Errorf("%w: %s and %s", errFork, s.newest, name)
 		}
 		s.chosen[name] = true
-		if s.follows(name, s.tip) {
-			s.tip = name
+		if s.follows(name, s.newest) {
+			s.newest = name
 		}
 	}
 	if next, seed, sealed := quorum.Following(p.epoch, v); sealed {
@@ -242,7 +245,7 @@
 	return nil
 }
 
-// follows says whether a value was made from another, directly or not.
+// follows says whether a value was made from an earlier one, directly or not.
 func (s *sim) follows(name, earlier string) bool {
 	for {
 		if name == earlier {
@@ -255,9 +258,9 @@
 	}
 }
 
-// lose takes a disk: it comes back empty under another ID, or with the planted
-// fault under the old one.
-func (s *sim) lose() {
+// loseDisk replaces a random disk by an empty one, which has another ID unless the
+// planted fault reuses the old one.
+func (s *sim) loseDisk() {
 	ids := make([]string, 0, len(s.voters))
 	for id := range s.voters {
 		ids = append(ids, id)
@@ -265,39 +268,39 @@
 	slices.Sort(ids)
 	id := ids[s.rng.IntN(len(ids))]
 	switch {
-	case s.fault == forgetfulVoter:
+	case s.fault == reusedDiskID:
 		s.voters[id] = quorum.NewAcceptor(quorum.State{ID: id})
-	case s.fault == foundsTwice && len(id) > 2:
+	case s.fault == reusedFounderID && len(id) > 2:
 		s.voters[id] = quorum.NewAcceptor(quorum.State{ID: id})
 	default:
 		delete(s.voters, id)
-		s.add()
+		s.addDisk()
 	}
-	s.lost++
+	s.losses++
 }
 
 func (s *sim) step() error {
 	p := s.proposers[s.rng.IntN(len(s.proposers))]
 	switch n := s.rng.IntN(100); {
 	case n < 8:
-		if p.now == nil {
+		if p.current == nil {
 			s.propose(p)
 		}
 	case n < 10:
-		p.now = nil // it crashes or gives up
-	case n < 11 && s.lost < 3:
-		s.lose()
+		p.current = nil // the proposer crashes or gives up
+	case n < 11 && s.losses < 3:
+		s.loseDisk()
 	case n < 12 && len(s.voters) < explorerDisks:
-		s.add()
+		s.addDisk()
 	case len(s.net) == 0:
 	default:
 		i := s.rng.IntN(len(s.net))
 		m := s.net[i]
-		if n < 92 { // else it comes again later
+		if n < 92 { // otherwise it stays queued and may be delivered again
 			s.net[i] = s.net[len(s.net)-1]
 			s.net = s.net[:len(s.net)-1]
 		}
-		if n > 16 || n < 12 { // else it is lost
+		if n > 16 || n < 12 { // otherwise it isn't delivered this time
 			return s.deliver(m)
 		}
 	}
@@ -313,7 +316,8 @@
 	return nil
 }
 
-// TestExplorer plays random schedules.
+// TestExplorer runs random schedules without a planted fault, a tenth of them in
+// short mode.
 func TestExplorer(t *testing.T) {
 	n := schedules
 	if testing.Short() {
@@ -321,7 +325,7 @@
 	}
 	values, changes := 0, uint64(0)
 	for seed := range uint64(n) {
-		s := newSim(seed, sound)
+		s := newSim(seed, noFault)
 		if err := s.run(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -332,17 +336,17 @@
 	}
 	t.Logf("%d values chosen, up to %d epochs", values, changes)
 	if values < n || changes < 4 {
-		t.Fatal("the schedules choose too little to mean anything")
+		t.Fatal("too few values or epochs for a significant test: want at least one value per schedule and 4 epochs")
 	}
 }
 
-// TestExplorerFindsPlantedFaults shows that the explorer sees what it is for.
+// TestExplorerFindsPlantedFaults checks that the explorer detects defects.
 func TestExplorerFindsPlantedFaults(t *testing.T) {
 	for name, f := range map[string]fault{
-		"a lost disk votes under its old ID":    forgetfulVoter,
-		"one voter fewer than a majority":       smallQuorum,
-		"an epoch is entered without its value": emptyEntry,
-		"a lost founder founds again":           foundsTwice,
+		"a lost disk votes under its old ID":          reusedDiskID,
+		"a majority of all voters but one":            smallQuorum,
+		"an epoch is entered without its first value": entryWithoutValue,
+		"a founder that lost its disk founds again":   reusedFounderID,
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(schedulesPlanted) {
--- a/internal/core/quorum/types.go
+++ b/internal/core/quorum/types.go
@@ -5,37 +5,37 @@
 	"slices"
 )
 
-// Voter is one disk that votes.
+// Voter is a disk that votes, and the address of its process.
 type Voter struct {
-	// ID names the disk.
+	// ID identifies the disk.
 	ID string `json:"ID"`
-	// Address is the IP:port where its process answers.
+	// Address is the IP:port of the process that serves the disk.
 	Address string `json:"Address"`
 }
 
-// Epoch is one set of voters. Epochs are numbered from 1.
+// Epoch is a period with a fixed set of voters. Epochs are numbered from 1.
 type Epoch struct {
 	Number uint64  `json:"Number"`
 	Voters []Voter `json:"Voters"`
 }
 
-// Majority is the number of voters that decide.
+// Majority is the number of voters that form a majority.
 func (e Epoch) Majority() int { return len(e.Voters)/2 + 1 }
 
-// Has says whether a disk votes in the epoch.
+// Has says whether a disk is a voter of the epoch.
 func (e Epoch) Has(id string) bool {
 	return slices.ContainsFunc(e.Voters, func(v Voter) bool { return v.ID == id })
 }
 
-// Ballot orders the attempts of an epoch. Proposers never share a ballot. The
+// Ballot orders the attempts of an epoch. No two proposers use the same ballot. The
 // zero ballot precedes all others.
 type Ballot struct {
 	Round uint64 `json:"Round"`
-	// Proposer names an incarnation of a process.
+	// Proposer identifies an incarnation of the proposing process.
 	Proposer string `json:"Proposer"`
 }
 
-// Compare returns -1, 0 or +1 as b is lower than, equal to or higher than o.
+// Compare returns -1, 0 or +1 if b is lower than, equal to or higher than o.
 func (b Ballot) Compare(o Ballot) int {
 	return cmp.Or(cmp.Compare(b.Round, o.Round), cmp.Compare(b.Proposer, o.Proposer))
 }
@@ -43,13 +43,13 @@
 // Less says whether b is lower than o.
 func (b Ballot) Less(o Ballot) bool { return b.Compare(o) < 0 }
 
-// Value is what the register holds. It is never changed after it was proposed.
+// Value is the content of the register. It is never modified after it was proposed.
 type Value struct {
-	// Sequence grows with each value.
+	// Sequence increases with each value.
 	Sequence uint64 `json:"Sequence"`
-	// State is the content.
+	// State is the encoded content.
 	State []byte `json:"State"`
-	// Next names the voters of the next epoch; nil unless the value seals its
+	// Next holds the voters of the next epoch; nil unless the value seals its
 	// epoch.
 	Next []Voter `json:"Next"`
 }
@@ -60,36 +60,43 @@
 	Value  *Value `json:"Value"`
 }
 
-// Refusal says why a voter didn't do what it was asked; nil when it did.
+// Refusal is the reason why a voter gave no promise or didn't accept a value. A nil
+// Refusal means that it did.
 type Refusal struct {
-	// Promised is the higher ballot that stands in the way.
+	// Promised is the higher ballot that the voter has promised; zero if that
+	// isn't the reason.
 	Promised Ballot
-	// Newer is a later epoch that the voter has entered.
+	// Newer is a later epoch that the voter has entered; its number is zero if
+	// there is none.
 	Newer Epoch
-	// Stranger says that the asked disk isn't here, or can't take part in the
-	// epoch without its first value.
+	// Stranger says that the disk can't vote in the epoch: the process has
+	// another disk, the epoch doesn't name the disk, or the disk hasn't entered
+	// the epoch and the message has no value to enter it with.
 	Stranger bool
 }
 
-// Prepare asks for a promise to ignore lower ballots of an epoch.
+// Prepare requests a promise to ignore lower ballots of an epoch.
 type Prepare struct {
+	// To is the ID of the voter's disk.
 	To     string
 	Epoch  Epoch
 	Ballot Ballot
-	// Seed is the epoch's first value, or a later one; nil when it isn't known.
+	// Seed is the epoch's first value, or a later one; nil if none is known.
 	Seed *Value
-	// Have is the accepted ballot whose value the proposer holds; zero if none.
+	// Have is the accepted ballot whose value the proposer already has; zero if
+	// none.
 	Have Ballot
 }
 
-// Promise answers Prepare. Accepted lacks its value if the proposer holds it.
+// Promise answers Prepare. Accepted has no value if the proposer already has it.
 type Promise struct {
 	Refusal  *Refusal
 	Accepted Accepted
 }
 
-// Accept asks to accept a value.
+// Accept requests that a voter accept a value.
 type Accept struct {
+	// To is the ID of the voter's disk.
 	To     string
 	Epoch  Epoch
 	Ballot Ballot
--- a/internal/core/register/acceptor.go
+++ b/internal/core/register/acceptor.go
@@ -1,49 +1,53 @@
 package register
 
-// State is what a member must keep on its disk.
+// State is the durable state of a member.
 type State struct {
-	// Voting says that the member's first start or repair is done.
+	// Voting says that the member completed its first start or its repair and
+	// takes part in quorums.
 	Voting bool
-	// Nonce is drawn when the folder is first used; it tells a folder that
-	// never voted from one that took its place.
+	// Nonce is a random number drawn when the folder is first used. It
+	// distinguishes a folder that never voted from one that replaced it.
 	Nonce uint64
-	// Damaged says that the folder held something that can't be used. Such a
-	// member can't be a founder.
+	// Damaged says that the folder held unusable data. A damaged member counts
+	// as non-empty, so that no probe round makes it a founder.
 	Damaged bool
-	// Founders are the nonces of all members at the first start.
+	// Founders holds the nonces of all members when the group was founded.
 	Founders [MaxMembers]uint64
-	// Generation is the fence of the last repair; zero before any.
+	// Generation is the fence of the member's last repair; zero if it was never
+	// repaired.
 	Generation Ballot
-	// Fences are the newest fences of all members that are known.
+	// Fences holds the newest known fence of each member.
 	Fences Ballots
-	// Promised is the highest promised ballot, never below Accepted.
+	// Promised is the highest promised ballot. It is never below Accepted.
 	Promised Ballot
-	// Accepted is the ballot of Value.
+	// Accepted is the ballot under which Value was accepted.
 	Accepted Ballot
 	Value    *Value
-	// Committed is the highest ballot known to be chosen, and its value.
+	// Committed is the highest ballot whose value is known to be chosen;
+	// CommittedValue is that value.
 	Committed      Ballot
 	CommittedValue *Value
 }
 
-// empty says that the folder never held a vote or a value.
+// empty says that the folder never held a vote, a value or unusable data.
 func (s State) empty() bool {
 	return !s.Voting && !s.Damaged && s.Accepted.IsZero() && s.Committed.IsZero()
 }
 
-// Acceptor is the voting half of a member. It is not safe for concurrent use.
+// Acceptor is the Paxos acceptor of a member: it answers proposers and repairs
+// of other members. It is not safe for concurrent use.
 type Acceptor struct {
 	self  MemberID
 	state State
 }
 
-// NewAcceptor returns an acceptor that goes on from a state on disk.
+// NewAcceptor returns an acceptor that resumes from a stored state.
 func NewAcceptor(self MemberID, state State) *Acceptor {
 	return &Acceptor{self: self, state: state}
 }
 
-// State returns the state that must be durable before any answer that changed
-// it is sent.
+// State returns the current state. After a call that changed it, the caller
+// must make it durable before it sends the answer.
 func (a *Acceptor) State() State { return a.state }
 
 func (a *Acceptor) standing() Standing {
@@ -61,7 +65,8 @@
 	return h
 }
 
-// Prepare gives or refuses a promise. The flag says whether the state changed.
+// Prepare promises to ignore lower ballots, or refuses if a higher one was
+// promised. The flag says whether the state changed.
 func (a *Acceptor) Prepare(m Prepare) (Promise, bool) {
 	if !a.state.Voting || m.Ballot.Less(a.state.Promised) {
 		return Promise{Standing: a.standing(), Ballot: m.Ballot}, false
@@ -71,7 +76,8 @@
 	return Promise{Standing: a.standing(), Holding: a.holding(m.Have), Ballot: m.Ballot, OK: true}, changed
 }
 
-// Accept accepts or refuses a value. The flag says whether the state changed.
+// Accept accepts a value, or refuses it if a higher ballot was promised. The
+// flag says whether the state changed.
 func (a *Acceptor) Accept(m Accept) (Accepted, bool) {
 	if !a.state.Voting || m.Ballot.Less(a.state.Promised) {
 		return Accepted{Standing: a.standing(), Ballot: m.Ballot}, false
@@ -83,9 +89,9 @@
 	return Accepted{Standing: a.standing(), Ballot: m.Ballot, OK: true}, changed
 }
 
-// Learn marks the accepted value as chosen. A member that accepted another
-// ballot ignores it and learns the value later. The flag says whether the
-// state changed.
+// Learn marks the accepted value as chosen. If the member accepted under
+// another ballot, it ignores the message and learns the value later. The flag
+// says whether the state changed.
 func (a *Acceptor) Learn(m Learn) bool {
 	if m.Ballot != a.state.Accepted || !a.state.Committed.Less(m.Ballot) {
 		return false
@@ -95,9 +101,9 @@
 	return true
 }
 
-// LearnValue takes over a value that is known to be chosen under a ballot. A
-// voting member that lags accepts it too. The flag says whether the state
-// changed.
+// LearnValue records a value that is known to be chosen under a ballot. A
+// voting member whose accepted ballot is lower accepts it too. The flag says
+// whether the state changed.
 func (a *Acceptor) LearnValue(b Ballot, v *Value) bool {
 	if !a.state.Committed.Less(b) {
 		return false
@@ -110,12 +116,12 @@
 	return true
 }
 
-// Query reports what was accepted; it changes nothing.
+// Query reports what was accepted. It doesn't change the state.
 func (a *Acceptor) Query(m Query) Report {
 	return Report{Round: m.Round, Standing: a.standing(), Holding: a.holding(m.Have)}
 }
 
-// Probe says whether the folder is empty; it changes nothing.
+// Probe reports whether the folder is empty. It doesn't change the state.
 func (a *Acceptor) Probe(m Probe) ProbeReply {
 	return ProbeReply{
 		Standing: a.standing(), Echo: m.Nonce, Round: m.Round,
@@ -123,8 +129,9 @@
 	}
 }
 
-// Fence gives or refuses the promise that another member's repair asks for.
-// The flag says whether the state changed.
+// Fence gives or refuses the promise that another member's repair requests, and
+// records the ballot as that member's fence. The flag says whether the state
+// changed.
 func (a *Acceptor) Fence(m Fence) (Fenced, bool) {
 	if !a.state.Voting || m.Ballot.Less(a.state.Promised) {
 		return Fenced{Standing: a.standing(), Ballot: m.Ballot}, false
@@ -138,15 +145,16 @@
 	}, changed
 }
 
-// Found makes the member vote with an empty register, after its Starter said
-// that every member was empty at one instant.
+// Found makes the member vote as a founder of the group, after the member's
+// Start returned the founders' nonces. The register is empty, unless a chosen
+// value was learned meanwhile.
 func (a *Acceptor) Found(founders [MaxMembers]uint64) {
 	a.state.Voting = true
 	a.state.Founders = founders
 	a.adoptCommitted()
 }
 
-// Repaired makes the member vote again with the state that its Repair gathered.
+// Repaired makes the member vote again with the state that its Repair collected.
 func (a *Acceptor) Repaired(r Result) {
 	committed, value := a.state.Committed, a.state.CommittedValue
 	a.state = State{
@@ -159,8 +167,8 @@
 }
 
 // adoptCommitted accepts the chosen value if it is newer than the accepted
-// one. Any ballot above it reads that value or a later one from every quorum,
-// whatever was promised here.
+// one. That is safe whatever was promised here: any higher ballot reads that
+// value or a later one from every quorum.
 func (a *Acceptor) adoptCommitted() {
 	if !a.state.Accepted.Less(a.state.Committed) {
 		return
@@ -170,8 +178,9 @@
 	a.state.Promised = maxBallot(a.state.Promised, a.state.Committed)
 }
 
-// Overtaken says whether others know of a later repair of this member than its
-// state does. Such a state is an old image of the disk and must not vote.
+// Overtaken says whether fences, which other members reported, hold a later
+// repair of this member than its own state. Such a state is an old image of the
+// disk and must not vote.
 func (a *Acceptor) Overtaken(fences Ballots) bool {
 	return a.state.Voting && a.state.Generation.Less(fences[a.self])
 }
--- a/internal/core/register/attempt.go
+++ b/internal/core/register/attempt.go
@@ -2,28 +2,30 @@
 
 import "sassafrasreach/internal/port"
 
-// Phase is how far an attempt has come.
+// Phase is the progress of an attempt.
 type Phase uint8
 
 const (
-	// Preparing waits for promises.
+	// Preparing means that the attempt waits for a quorum of promises.
 	Preparing Phase = iota
-	// Accepting waits for acceptances: the value may become chosen.
+	// Accepting means that the attempt waits for a quorum of acceptances. The
+	// value may become chosen even if the attempt never learns it.
 	Accepting
 	// Chosen means that a quorum accepted the value.
 	Chosen
-	// Rejected means that the attempt can't succeed: a member promised a
-	// higher ballot, or a member's answer was of an older generation.
+	// Rejected means that a voting member refused because it promised a higher
+	// ballot.
 	Rejected
-	// Refused means that the change can't be proposed at all; see Err.
+	// Refused means that Decide returned an error and nothing was proposed; see
+	// Outcome.
 	Refused
 )
 
-// Decide computes the value to accept from the one in the register, nil when
-// it is empty.
+// Decide computes the value to propose from the current value, which is nil
+// when the register is empty. After an error nothing is proposed.
 type Decide func(current *Value) (*Value, port.Outcome, error)
 
-// Keep is the Decide of a read: it accepts the value again as it is.
+// Keep is the Decide of a read: it proposes the current value unchanged.
 func Keep(current *Value) (*Value, port.Outcome, error) { return current, port.Outcome{}, nil }
 
 // Attempt is one read-modify-write of the register under one ballot. It is not
@@ -42,17 +44,17 @@
 	seen     Ballot
 }
 
-// NewAttempt returns an attempt under a ballot that no other attempt has. The
-// proposer holds have already, so that members needn't send it.
+// NewAttempt returns an attempt under a ballot that no other attempt uses. The
+// proposer already has the value of have, so members omit it from their answers.
 func NewAttempt(g Group, b Ballot, have Holding, decide Decide) *Attempt {
 	return &Attempt{group: g, ballot: b, decide: decide, highest: have}
 }
 
-// Prepare returns the message to every member that starts the attempt.
+// Prepare returns the message that starts the attempt, for every member.
 func (a *Attempt) Prepare() Prepare { return Prepare{Ballot: a.ballot, Have: a.highest.Accepted} }
 
-// Promise takes a member's answer. It returns true when the message of Accept
-// is to be sent to every member.
+// Promise handles a member's answer to Prepare. It returns true when a quorum
+// has promised and the message of Accept is to be sent to every member.
 func (a *Attempt) Promise(m Promise) bool {
 	a.seen = maxBallot(a.seen, m.Promised)
 	if a.phase != Preparing || m.Ballot != a.ballot {
@@ -82,11 +84,12 @@
 	return true
 }
 
-// Accept returns the message to every member after Promise returned true.
+// Accept returns the message for every member after Promise returned true.
 func (a *Attempt) Accept() Accept { return Accept{Ballot: a.ballot, Value: a.proposed} }
 
-// Accepted takes a member's answer. It returns true when the value was chosen
-// by it; the message of Learn may be sent to every member then.
+// Accepted handles a member's answer to Accept. It returns true when this
+// answer completes the quorum, so that the value is chosen; the message of Learn
+// may then be sent to every member.
 func (a *Attempt) Accepted(m Accepted) bool {
 	a.seen = maxBallot(a.seen, m.Promised)
 	if a.phase != Accepting || m.Ballot != a.ballot {
@@ -104,35 +107,36 @@
 	return true
 }
 
-// Learn returns the message to every member after Accepted returned true.
+// Learn returns the message for every member after Accepted returned true.
 func (a *Attempt) Learn() Learn { return Learn{Ballot: a.ballot} }
 
 // reject ends the attempt when a voting member promised a higher ballot. A
-// member that doesn't vote is only missing from the quorum.
+// member that doesn't vote can't contribute to the quorum, but doesn't end the
+// attempt either.
 func (a *Attempt) reject(s Standing) {
 	if s.Voting {
 		a.phase = Rejected
 	}
 }
 
-// Phase returns how far the attempt has come.
+// Phase returns the progress of the attempt.
 func (a *Attempt) Phase() Phase { return a.phase }
 
-// Seen returns the highest ballot that members said they promised.
+// Seen returns the highest ballot that members reported as promised.
 func (a *Attempt) Seen() Ballot { return a.seen }
 
 // Ballot returns the attempt's ballot.
 func (a *Attempt) Ballot() Ballot { return a.ballot }
 
-// Outcome returns the change's outcome; it holds only in phase Chosen. The
-// error is set only in phase Refused.
+// Outcome returns the outcome of the change, which is valid only in phase
+// Chosen. The error is that of Decide and is set only in phase Refused.
 func (a *Attempt) Outcome() (port.Outcome, error) { return a.outcome, a.err }
 
-// Value returns the value that was proposed; nil before.
+// Value returns the proposed value, nil before it is proposed.
 func (a *Attempt) Value() *Value { return a.proposed }
 
-// tally counts the members that agreed and leaves out those of an older
-// generation than some other answer names.
+// tally counts the members that agreed. It leaves out a member whose answer is
+// of an older generation than the newest fence reported for that member.
 type tally struct {
 	generations Ballots
 	agreed      [MaxMembers]bool
@@ -159,7 +163,7 @@
 	return n
 }
 
-// counts says whether a member agreed in the newest generation that is known.
+// counts says whether a member agreed in its newest known generation.
 func (t *tally) counts(i int) bool {
 	return t.agreed[i] && !t.generations[i].Less(t.fences[i])
 }
--- a/internal/core/register/explore/explore_test.go
+++ b/internal/core/register/explore/explore_test.go
@@ -13,43 +13,44 @@
 
 const (
 	// schedules is the number of schedules without a planted fault; their seeds
-	// are firstSeed and up.
-	schedules = 100_000
-	firstSeed = 1
-	explorers = 4
-	// gcPercent lets garbage grow: schedules leave little that lives.
+	// begin at firstSeed.
+	schedules   = 100_000
+	firstSeed   = 1
+	workerCount = 4
+	// gcPercent makes garbage collection rare, since schedules keep little live
+	// memory.
 	gcPercent = 2000
 )
 
-// search runs schedules and returns the first seed that the oracle objects
-// to, with the objection; seed 0 is none.
+// search runs schedules and returns the lowest seed for which the oracle detects a
+// violation, and the violation; seed 0 means none.
 func search(f explore.Fault, from, count uint64) (uint64, error) {
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
-	var next, worst atomic.Uint64
+	var next, lowest atomic.Uint64
 	next.Store(from)
-	worst.Store(from + count)
+	lowest.Store(from + count)
 	var mu sync.Mutex
 	found := make(map[uint64]error)
 	var workers sync.WaitGroup
-	for range explorers {
+	for range workerCount {
 		workers.Go(func() {
 			for {
 				seed := next.Add(1) - 1
-				if seed >= worst.Load() {
+				if seed >= lowest.Load() {
 					return
 				}
 				if err := explore.Schedule(f, seed); err != nil {
 					mu.Lock()
 					found[seed] = err
-					worst.Store(min(worst.Load(), seed))
+					lowest.Store(min(lowest.Load(), seed))
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	workers.Wait()
-	if err, any := found[worst.Load()]; any {
-		return worst.Load(), err
+	if err, any := found[lowest.Load()]; any {
+		return lowest.Load(), err
 	}
 	return 0, nil
 }
@@ -62,11 +63,11 @@
 	t.Logf("%d schedules of %d steps, seeds from %d", schedules, explore.Steps, firstSeed)
 }
 
-// TestSeedsThatFailedOnce runs schedules that found faults outside the range
-// of TestExplorerFindsNoFault.
-func TestSeedsThatFailedOnce(t *testing.T) {
+// TestSeedsOfPastFaults runs seeds outside the range of TestExplorerFindsNoFault
+// that found faults which are fixed now.
+func TestSeedsOfPastFaults(t *testing.T) {
 	seeds := []uint64{
-		30_527_871, // a read counted the report of an old image of a disk
+		30_527_871, // a read counted a report from an old image of a disk
 	}
 	for _, seed := range seeds {
 		is.New(t).NoErr(explore.Schedule(explore.NoFault, seed))
@@ -80,16 +81,17 @@
 		from  uint64
 		count uint64
 	}{
-		{"votes with an empty disk", explore.VotesEmpty, firstSeed, 10_000},
-		{"repairs by copying without a fence", explore.CopiesOnly, firstSeed, 20_000},
-		// The next two are rare: their seeds begin shortly before one that fails.
+		{"votes with an empty disk", explore.VoteWithoutRepair, firstSeed, 10_000},
+		{"repairs by copying without a fence", explore.RepairWithoutFence, firstSeed, 20_000},
+		// The next two faults are rarely found, so their seeds begin shortly before
+		// one that finds them.
 		{"lets an old image of a disk vote", explore.OldImageVotes, 10_001, 20_000},
 		{"fences without generations", explore.NoGeneration, 1_020_001, 20_000},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			seed, err := search(c.fault, c.from, c.count)
-			is.New(t).True(err != nil) // the explorer must object
+			is.New(t).True(err != nil) // the explorer must find the fault
 			t.Logf("found after %d schedules: %v", seed-c.from+1, err)
 		})
 	}
--- a/internal/core/register/explore/handle.go
+++ b/internal/core/register/explore/handle.go
@@ -4,48 +4,50 @@
 	"sassafrasreach/internal/core/register"
 )
 
-// handle gives a packet to its member; the state counts as durable before any
-// answer leaves.
+// handle delivers a packet to its member. The simulated state is durable at once,
+// so always before the answer is sent.
 func (s *sim) handle(m *member, p packet) error {
 	switch b := p.body.(type) {
 	case register.Prepare:
 		out, _ := m.acceptor.Prepare(b)
-		s.strip(&out.Standing)
+		s.clearGenerations(&out.Standing)
 		s.reply(p, out)
-		s.strike(m, p, out.OK)
+		s.maybeLoseVictim(m, p, out.OK)
 	case register.Accept:
 		out, _ := m.acceptor.Accept(b)
-		s.strip(&out.Standing)
+		s.clearGenerations(&out.Standing)
 		s.reply(p, out)
-		s.strike(m, p, out.OK)
+		s.maybeLoseVictim(m, p, out.OK)
 	case register.Learn:
 		m.acceptor.Learn(b)
 	case register.Query:
 		out := m.acceptor.Query(b)
-		s.strip(&out.Standing)
+		s.clearGenerations(&out.Standing)
 		s.reply(p, out)
 	case register.Probe:
 		s.reply(p, m.acceptor.Probe(b))
 	case register.Fence:
 		if m.id != p.from {
 			out, _ := m.acceptor.Fence(b)
-			s.strip(&out.Standing)
+			s.clearGenerations(&out.Standing)
 			s.reply(p, out)
 		}
 	default:
-		return s.answer(m, p.body)
+		return s.handleAnswer(m, p.body)
 	}
 	return nil
 }
 
-func (s *sim) strip(st *register.Standing) {
+// clearGenerations removes generation and fences from an answer if the planted
+// fault requires it.
+func (s *sim) clearGenerations(st *register.Standing) {
 	if s.fault == NoGeneration || s.fault == OldImageVotes {
 		st.Generation, st.Fences = register.Ballot{}, register.Ballots{}
 	}
 }
 
-// answer gives an answer to the state machine that asked for it.
-func (s *sim) answer(m *member, body any) error {
+// handleAnswer delivers an answer to the state machine that sent the request.
+func (s *sim) handleAnswer(m *member, body any) error {
 	switch b := body.(type) {
 	case register.Promise:
 		if m.attempt != nil && m.attempt.Promise(b) {
@@ -53,7 +55,7 @@
 		}
 	case register.Accepted:
 		if m.attempt != nil && m.attempt.Accepted(b) {
-			return s.chosen(m)
+			return s.finishAttempt(m)
 		}
 	case register.ProbeReply:
 		if m.start != nil {
@@ -65,14 +67,14 @@
 			m.acceptor.Repaired(m.repair.Result())
 		}
 	case register.Report:
-		return s.report(m, b)
+		return s.handleReport(m, b)
 	}
 	return nil
 }
 
-func (s *sim) report(m *member, b register.Report) error {
-	if m.copied != nil && b.Voting && !m.acceptor.State().Voting {
-		m.copied[b.Member] = b
+func (s *sim) handleReport(m *member, b register.Report) error {
+	if m.copiedReports != nil && b.Voting && !m.acceptor.State().Voting {
+		m.copiedReports[b.Member] = b
 		s.copyRepair(m)
 	}
 	if m.read == nil {
@@ -80,7 +82,7 @@
 	}
 	m.read.Report(b)
 	if m.acceptor.Overtaken(m.read.Fences()) {
-		s.forget(m)
+		s.replaceDisk(m)
 		return nil
 	}
 	h, known := m.read.Known()
@@ -88,23 +90,23 @@
 		return nil
 	}
 	m.acceptor.LearnValue(h.Accepted, h.Value)
-	if err := s.oracle.choose(h.Accepted, h.Value); err != nil {
+	if err := s.oracle.recordChosen(h.Accepted, h.Value); err != nil {
 		return err
 	}
 	if _, newest := m.read.Chosen(); newest {
 		m.read = nil
-		return s.oracle.readAfter(m.readFloor, h.Value)
+		return s.oracle.checkRead(m.readFloor, h.Value)
 	}
 	return nil
 }
 
-// copyRepair is the planted repair without a fence.
+// copyRepair repairs a member without a fence, as the planted fault.
 func (s *sim) copyRepair(m *member) {
-	if len(m.copied) < s.group.RepairQuorum() {
+	if len(m.copiedReports) < s.group.RepairQuorum() {
 		return
 	}
 	var r register.Result
-	for _, c := range m.copied {
+	for _, c := range m.copiedReports {
 		if r.Ballot.Less(c.Promised) {
 			r.Ballot = c.Promised
 		}
@@ -115,9 +117,11 @@
 	m.acceptor.Repaired(r)
 }
 
-func (s *sim) chosen(m *member) error {
+// finishAttempt reports the member's chosen value to the oracle and announces it
+// to the other members.
+func (s *sim) finishAttempt(m *member) error {
 	a := m.attempt
-	if err := s.oracle.choose(a.Ballot(), a.Value()); err != nil {
+	if err := s.oracle.recordChosen(a.Ballot(), a.Value()); err != nil {
 		return err
 	}
 	s.send(m, a.Learn())
@@ -127,5 +131,5 @@
 	}
 	out, _ := a.Outcome()
 	m.op = nil
-	return s.oracle.tell(out)
+	return s.oracle.recordOutcome(out)
 }
--- a/internal/core/register/explore/oracle.go
+++ b/internal/core/register/explore/oracle.go
@@ -8,16 +8,18 @@
 	"sassafrasreach/internal/port"
 )
 
-// oracle checks what members claim: one value per version, accepted versions
-// never vanish, resends answer alike, reads aren't stale.
+// oracle checks the results that members report: a version has one value, each
+// chosen value builds on those chosen before it, a resend gets the same outcome,
+// and a read isn't stale.
 type oracle struct {
-	// chosen is sorted by ballot.
-	chosen   []choice
+	// chosen is sorted by ballot. versions maps a version to its digest, outcomes
+	// a change ID to its first outcome.
+	chosen   []chosenValue
 	versions map[uint64]string
 	outcomes map[string]port.Outcome
 }
 
-type choice struct {
+type chosenValue struct {
 	ballot register.Ballot
 	value  *register.Value
 }
@@ -33,43 +35,45 @@
 	return o.chosen[len(o.chosen)-1].value
 }
 
-// choose takes a claim that a value was chosen under a ballot.
-func (o *oracle) choose(b register.Ballot, v *register.Value) error {
+// recordChosen checks a report that a value was chosen under a ballot.
+func (o *oracle) recordChosen(b register.Ballot, v *register.Value) error {
 	if v != nil {
 		if known, found := o.versions[v.Version]; found && known != v.Digest {
-			return fmt.Errorf("version %d is %q and %q", v.Version, known, v.Digest)
+			return fmt.Errorf("version %d has digests %q and %q", v.Version, known, v.Digest)
 		}
 		o.versions[v.Version] = v.Digest
 	}
-	at, found := slices.BinarySearchFunc(o.chosen, b, func(c choice, b register.Ballot) int { return c.ballot.Compare(b) })
+	at, found := slices.BinarySearchFunc(o.chosen, b, func(c chosenValue, b register.Ballot) int { return c.ballot.Compare(b) })
 	if found && lastHash(o.chosen[at].value) != lastHash(v) {
-		return fmt.Errorf("ballot %v chose two values", b)
+		return fmt.Errorf("two values were chosen under ballot %v", b)
 	}
 	if found {
 		return nil
 	}
 	if at > 0 && !extends(v, o.chosen[at-1].value) {
-		return fmt.Errorf("value of %v lacks that of %v", b, o.chosen[at-1].ballot)
+		return fmt.Errorf("value chosen under %v doesn't build on that of %v", b, o.chosen[at-1].ballot)
 	}
 	if at < len(o.chosen) && !extends(o.chosen[at].value, v) {
-		return fmt.Errorf("value of %v lacks that of %v", o.chosen[at].ballot, b)
+		return fmt.Errorf("value chosen under %v doesn't build on that of %v", o.chosen[at].ballot, b)
 	}
-	o.chosen = slices.Insert(o.chosen, at, choice{ballot: b, value: v})
+	o.chosen = slices.Insert(o.chosen, at, chosenValue{ballot: b, value: v})
 	return nil
 }
 
-// tell takes an outcome that an operator was told.
-func (o *oracle) tell(out port.Outcome) error {
+// recordOutcome checks an outcome that was returned to an operator.
+func (o *oracle) recordOutcome(out port.Outcome) error {
 	if first, found := o.outcomes[out.ChangeID]; found && first != out {
-		return fmt.Errorf("change %s was told %v, then %v", out.ChangeID, first, out)
+		return fmt.Errorf("change %s had outcome %v, then %v", out.ChangeID, first, out)
 	}
 	o.outcomes[out.ChangeID] = out
 	return nil
 }
 
-func (o *oracle) readAfter(floor, got *register.Value) error {
+// checkRead checks that a read value is not older than floor, the newest value that
+// was known to be chosen when the read began.
+func (o *oracle) checkRead(floor, got *register.Value) error {
 	if !extends(got, floor) {
-		return fmt.Errorf("read is older than a value chosen before it began")
+		return fmt.Errorf("read returned an older value than one chosen before it began")
 	}
 	return nil
 }
@@ -81,7 +85,7 @@
 	return v.Audit[len(v.Audit)-1].Hash
 }
 
-// extends says whether v holds all decisions of older.
+// extends says whether v builds on older: the last audit record of older is in v.
 func extends(v, older *register.Value) bool {
 	last := lastHash(older)
 	if last == "" {
--- a/internal/core/register/explore/sim.go
+++ b/internal/core/register/explore/sim.go
@@ -13,27 +13,29 @@
 	body     any
 }
 
-// member is one member with its volatile state machines.
+// member is a simulated member. Of its state machines only the acceptor survives a
+// restart.
 type member struct {
-	id          register.MemberID
-	acceptor    *register.Acceptor
-	incarnation uint64
-	ballots     *register.BallotSource
-	attempt     *register.Attempt
-	op          *register.Proposal
-	start       *register.Start
-	repair      *register.Repair
-	copied      map[register.MemberID]register.Report
-	read        *register.Read
-	readFloor   *register.Value
-	frozen      bool
-	lost        bool
-	// image is the disk before its last loss; stale says that it was put back.
+	id            register.MemberID
+	acceptor      *register.Acceptor
+	incarnation   uint64
+	ballots       *register.BallotSource
+	attempt       *register.Attempt
+	op            *register.Proposal
+	start         *register.Start
+	repair        *register.Repair
+	copiedReports map[register.MemberID]register.Report
+	read          *register.Read
+	readFloor     *register.Value
+	frozen        bool
+	lost          bool
+	// image is the state of the disk before its last loss; stale says that it was
+	// restored.
 	image register.State
 	stale bool
 }
 
-// sim is one schedule over the pure state machines.
+// sim is the simulation of one schedule.
 type sim struct {
 	rng     *rand.Rand
 	group   register.Group
@@ -45,15 +47,16 @@
 	ops     []register.Proposal
 	losses  int
 	nonce   uint64
-	// victim loses its disk right after it answered a proposer, and is then
-	// repaired before most other messages arrive; nil in unguided schedules.
+	// victim may lose its disk right after it answered a proposer; messages of
+	// starts, reads and repairs are then delivered before most others. It is nil
+	// in unguided schedules.
 	victim   *member
 	channels [register.MaxMembers][register.MaxMembers][kinds]int
 }
 
 // weights are the relative frequencies of a schedule's actions.
 type weights struct {
-	deliver, duplicate, drop, change, resend, retry, read, join, crash, lose, freeze, putBack int
+	deliver, duplicate, drop, change, resend, retry, read, join, crash, lose, freeze, restoreImage int
 }
 
 const (
@@ -84,28 +87,29 @@
 
 func (s *sim) nextNonce() uint64 { s.nonce++; return s.nonce }
 
-// restart drops what the member didn't keep on its disk.
+// restart drops the member's volatile state and begins its next incarnation.
 func (s *sim) restart(m *member) {
 	m.incarnation++
 	m.ballots = register.NewBallotSource(m.id, m.incarnation)
-	m.attempt, m.op, m.start, m.repair, m.copied, m.read = nil, nil, nil, nil, nil, nil
+	m.attempt, m.op, m.start, m.repair, m.copiedReports, m.read = nil, nil, nil, nil, nil, nil
 }
 
-// lose takes a member's disk, if not too many others have lost theirs.
-func (s *sim) lose(m *member) {
+// loseDisk empties a member's disk, unless too many others have lost theirs or the
+// schedule had 4 losses already.
+func (s *sim) loseDisk(m *member) {
 	if s.tooManyLost(m) || s.losses >= 4 {
 		return
 	}
 	s.losses++
 	m.image = m.acceptor.State()
-	s.forget(m)
-	if s.fault == VotesEmpty {
+	s.replaceDisk(m)
+	if s.fault == VoteWithoutRepair {
 		m.acceptor.Found([register.MaxMembers]uint64{})
 	}
 }
 
-// tooManyLost says whether losing one more member's state would be more than
-// the group is made for.
+// tooManyLost says whether the loss of m's state would exceed the number of
+// lost states that the group tolerates.
 func (s *sim) tooManyLost(m *member) bool {
 	lost := 1
 	for _, o := range s.members {
@@ -116,16 +120,16 @@
 	return lost > s.group.Members-s.group.Quorum()
 }
 
-// forget restarts a member with a folder that holds nothing usable.
-func (s *sim) forget(m *member) {
+// replaceDisk restarts a member with a new folder that is empty or damaged.
+func (s *sim) replaceDisk(m *member) {
 	m.lost, m.stale = true, false
 	s.restart(m)
 	m.acceptor = register.NewAcceptor(m.id, register.State{Nonce: s.nextNonce(), Damaged: s.rng.IntN(2) == 0})
 }
 
-// putBack restarts a member with the image of its disk from before its last
-// repair, as if the repair hadn't been.
-func (s *sim) putBack(m *member) {
+// restoreImage restarts a member with the image of its disk from before its last
+// repair, as if the disk had been restored from a backup.
+func (s *sim) restoreImage(m *member) {
 	st := m.acceptor.State()
 	if s.fault == NoGeneration || !m.lost || !st.Voting || !m.image.Voting || !m.image.Generation.Less(st.Generation) || s.tooManyLost(m) {
 		return
@@ -158,7 +162,7 @@
 	return register.Holding{Accepted: st.Accepted, Value: st.Value, Committed: st.Accepted == st.Committed}
 }
 
-// propose begins an attempt for the member's operation; nil is a read.
+// propose begins an attempt for the member's operation; a nil operation is a read.
 func (s *sim) propose(m *member) {
 	decide := register.Keep
 	if op := m.op; op != nil {
@@ -205,11 +209,12 @@
 	s.send(m, m.read.Query())
 }
 
-// join probes or tries a repair, as the member's state asks for.
+// join makes a member that doesn't vote probe the others, and become a founder or
+// begin a repair if it already may.
 func (s *sim) join(m *member) {
 	st := m.acceptor.State()
 	if st.Voting {
-		m.start, m.repair, m.copied = nil, nil, nil
+		m.start, m.repair, m.copiedReports = nil, nil, nil
 		return
 	}
 	if m.start == nil || !m.start.Of(st) {
@@ -219,7 +224,8 @@
 	s.tryVote(m)
 }
 
-// tryVote makes the member a founder or begins a repair when its probe allows.
+// tryVote makes the member a founder, or begins a repair, if the answers to its
+// probes allow it.
 func (s *sim) tryVote(m *member) {
 	if m.acceptor.State().Voting {
 		return
@@ -230,8 +236,8 @@
 	}
 	switch {
 	case !m.start.CanRepair():
-	case s.fault == CopiesOnly:
-		m.copied = make(map[register.MemberID]register.Report)
+	case s.fault == RepairWithoutFence:
+		m.copiedReports = make(map[register.MemberID]register.Report)
 		s.send(m, register.Query{})
 	default:
 		if m.repair != nil {
@@ -242,9 +248,9 @@
 	}
 }
 
-// settle lets every member in reach take part in one last read and in a resend
-// of each operation, without faults.
-func (s *sim) settle() error {
+// finalCheck runs a last read and a resend of each operation, with every message
+// delivered in order to every member, also to frozen ones.
+func (s *sim) finalCheck() error {
 	first := s.members[0]
 	ops := []*register.Proposal{nil}
 	for i := range s.ops {
@@ -268,12 +274,12 @@
 	return nil
 }
 
-// run does a number of random steps, then settles.
+// run does a number of random steps, then the final check.
 func (s *sim) run(steps int) error {
 	for range steps {
 		if err := s.step(); err != nil {
 			return err
 		}
 	}
-	return s.settle()
+	return s.finalCheck()
 }
--- a/internal/core/register/explore/step.go
+++ b/internal/core/register/explore/step.go
@@ -6,12 +6,12 @@
 	"sassafrasreach/internal/core/register"
 )
 
-// step does one random action and returns what the oracle says of it.
+// step does one random action and returns the violation that the oracle detects.
 func (s *sim) step() error {
 	if s.victim != nil && s.rng.IntN(40) == 0 {
-		s.shuffle()
+		s.drawPriorities()
 	}
-	m := s.any(func(*member) bool { return true })
+	m := s.randomMember(func(*member) bool { return true })
 	w, n := s.weights, s.rng.IntN(s.weights.sum())
 	pick := func(weight int) bool { n -= weight; return n < 0 }
 	switch {
@@ -20,21 +20,21 @@
 	case pick(w.duplicate):
 		return s.deliver(false)
 	case pick(w.drop):
-		s.take()
+		s.dropPacket()
 	case pick(w.freeze):
 		m.frozen = !m.frozen
 	case pick(w.crash):
 		s.restart(m)
 	case pick(w.lose):
-		s.lose(m)
-	case pick(w.putBack):
-		s.putBack(m)
+		s.loseDisk(m)
+	case pick(w.restoreImage):
+		s.restoreImage(m)
 	case pick(w.retry):
-		if m := s.any(func(m *member) bool { return m.attempt != nil && !m.frozen }); m != nil {
+		if m := s.randomMember(func(m *member) bool { return m.attempt != nil && !m.frozen }); m != nil {
 			s.propose(m)
 		}
 	case pick(w.join):
-		if m := s.any(func(m *member) bool { return !m.acceptor.State().Voting && !m.frozen }); m != nil {
+		if m := s.randomMember(func(m *member) bool { return !m.acceptor.State().Voting && !m.frozen }); m != nil {
 			s.join(m)
 		}
 	case m.frozen:
@@ -48,11 +48,11 @@
 	return nil
 }
 
-// any returns a random member that fits, or nil.
-func (s *sim) any(fits func(*member) bool) *member {
+// randomMember returns a random member that matches, or nil.
+func (s *sim) randomMember(matches func(*member) bool) *member {
 	first := s.rng.IntN(len(s.members))
 	for i := range s.members {
-		if m := s.members[(first+i)%len(s.members)]; fits(m) {
+		if m := s.members[(first+i)%len(s.members)]; matches(m) {
 			return m
 		}
 	}
@@ -60,11 +60,11 @@
 }
 
 func (w weights) sum() int {
-	return w.deliver + w.duplicate + w.drop + w.change + w.resend + w.retry + w.read + w.join + w.crash + w.lose + w.freeze + w.putBack
+	return w.deliver + w.duplicate + w.drop + w.change + w.resend + w.retry + w.read + w.join + w.crash + w.lose + w.freeze + w.restoreImage
 }
 
-// take removes a random packet.
-func (s *sim) take() {
+// dropPacket removes a random packet.
+func (s *sim) dropPacket() {
 	if len(s.net) == 0 {
 		return
 	}
@@ -73,14 +73,16 @@
 	s.net = s.net[:len(s.net)-1]
 }
 
+// deliver hands the next packet to its member, unless that is frozen. The packet
+// may be delivered again if remove is false.
 func (s *sim) deliver(remove bool) error {
 	for len(s.net) > maxPackets {
-		s.take()
+		s.dropPacket()
 	}
 	if len(s.net) == 0 {
 		return nil
 	}
-	i := s.choose()
+	i := s.choosePacket()
 	p := s.net[i]
 	if s.members[p.to].frozen {
 		return nil
@@ -92,9 +94,10 @@
 	return s.handle(s.members[p.to], p)
 }
 
-// choose picks the next packet. In a guided schedule it is the one of the
-// highest priority, so that some channels stay silent for long.
-func (s *sim) choose() int {
+// choosePacket returns the index of the next packet. In a guided schedule that is
+// mostly the one with the highest priority, so that channels with low priorities
+// deliver nothing for long.
+func (s *sim) choosePacket() int {
 	i := s.rng.IntN(len(s.net))
 	if s.victim == nil || s.rng.IntN(16) == 0 {
 		return i
@@ -107,8 +110,8 @@
 	return i
 }
 
-// priority orders packets by sender, receiver and kind; the victim's start and
-// repair go first.
+// priority returns the priority of a packet's sender, receiver and kind. While the
+// victim doesn't vote, the messages of starts, reads and repairs come first.
 func (s *sim) priority(p packet) int {
 	kind := kindOf(p.body)
 	if kind >= startKind && !s.victim.acceptor.State().Voting {
@@ -117,6 +120,7 @@
 	return s.channels[p.from][p.to][kind]
 }
 
+// startKind is the first of the kinds that starts, reads and repairs use.
 const (
 	startKind = 6
 	kinds     = 10
@@ -145,8 +149,8 @@
 	}
 }
 
-// shuffle draws new priorities.
-func (s *sim) shuffle() {
+// drawPriorities draws random priorities for all channels.
+func (s *sim) drawPriorities() {
 	for from := range s.channels {
 		for to := range s.channels[from] {
 			for kind := range s.channels[from][to] {
@@ -156,10 +160,11 @@
 	}
 }
 
-// strike takes the victim's disk after it answered another member's proposer.
-func (s *sim) strike(m *member, p packet, ok bool) {
+// maybeLoseVictim makes the victim lose its disk, with a probability of 1/4, after
+// it gave another member's proposer a promise or accepted its value.
+func (s *sim) maybeLoseVictim(m *member, p packet, ok bool) {
 	if s.victim == m && !m.lost && ok && p.from != m.id && s.rng.IntN(4) == 0 {
-		s.lose(m)
+		s.loseDisk(m)
 		s.join(m)
 	}
 }
--- a/internal/core/register/lift.go
+++ b/internal/core/register/lift.go
@@ -6,26 +6,26 @@
 	"sassafrasreach/internal/port"
 )
 
-// LiftProposal is an operator's lift of a quarantine on its way into the
+// LiftProposal proposes to record an operator's lift of a quarantine in the
 // register.
 type LiftProposal struct {
 	port.Lift
-	// Time is when the lift is decided.
+	// Time is the time of the decision, for the audit trail.
 	Time time.Time
 }
 
-// request identifies the lift. It has no base version: a resend is the same lift
-// after other changes too.
+// request returns what must be the same in a resend of the lift. There is no base
+// version, so that a resend after other changes is still the same lift.
 func (p LiftProposal) request() Request {
 	return Request{Digest: p.Fingerprint, Operator: p.Operator}
 }
 
-// ApplyLift records a lift in the value v; nil is the empty register. The
-// document stays; the decision and the audit record are new, as for a refused
-// change. For a lift that is recorded already the value is v itself and the
-// outcome is the first one.
+// ApplyLift records a lift in the value v; nil is the empty register. As for a
+// refused change, the document is unchanged, and a decision and an audit record
+// are added. For a lift that is already recorded it returns v itself and the
+// first outcome. The error is ErrNoChangeID or ErrChangeIDReused.
 func ApplyLift(v *Value, p LiftProposal) (*Value, port.Outcome, error) {
-	return once(v, p.ID, p.request(), func(v *Value) (*Value, port.Outcome) {
+	return applyOnce(v, p.ID, p.request(), func(v *Value) (*Value, port.Outcome) {
 		next := &Value{Config: v.Config, Operator: v.Operator}
 		return next, next.record(v, p.request(), port.AuditRecord{
 			Time: p.Time, Operator: p.Operator, ChangeID: p.ID,
--- a/internal/core/register/message.go
+++ b/internal/core/register/message.go
@@ -1,14 +1,15 @@
 package register
 
-// Standing is what a member says of itself in every answer.
+// Standing is the part of every answer that describes the answering member.
 type Standing struct {
 	Member MemberID
-	// Voting says that the member's state is whole. The other answer fields
-	// of a member that isn't voting mean nothing.
+	// Voting says that the member's state is complete and that its answers count
+	// for a quorum. If false, only a ProbeReply holds usable information.
 	Voting bool
-	// Generation is the fence of the member's last repair; zero before any.
+	// Generation is the fence of the member's last repair; zero if it was never
+	// repaired.
 	Generation Ballot
-	// Fences are the newest fences of all members that this one knows of.
+	// Fences holds the newest fence of each member that this one knows of.
 	Fences Ballots
 	// Promised is the highest ballot that the member promised.
 	Promised Ballot
@@ -18,16 +19,16 @@
 type Holding struct {
 	// Accepted is the ballot under which Value was accepted.
 	Accepted Ballot
-	// Value is nil when the asker has it already or nothing was accepted.
+	// Value is nil when the requester has it already or nothing was accepted.
 	Value *Value
 	// Committed says that Value is known to be chosen.
 	Committed bool
 }
 
-// Prepare asks a member to promise to ignore ballots lower than Ballot.
+// Prepare requests a promise to ignore ballots lower than Ballot.
 type Prepare struct {
 	Ballot Ballot
-	// Have is the accepted ballot whose value the asker has.
+	// Have is the accepted ballot whose value the proposer already has.
 	Have Ballot
 }
 
@@ -40,7 +41,7 @@
 	OK bool
 }
 
-// Accept asks a member to accept a value.
+// Accept requests that a member accept a value.
 type Accept struct {
 	Ballot Ballot
 	Value  *Value
@@ -54,30 +55,31 @@
 	OK bool
 }
 
-// Learn tells that the value of a ballot was chosen.
+// Learn announces that the value accepted under a ballot was chosen. It has no
+// answer.
 type Learn struct {
 	Ballot Ballot
 }
 
-// Query asks what a member accepted, without a promise.
+// Query requests what a member accepted, without a promise.
 type Query struct {
-	// Round tells the asker's query rounds apart.
+	// Round distinguishes the requester's query rounds.
 	Round uint64
-	// Have is the accepted ballot whose value the asker has.
+	// Have is the accepted ballot whose value the requester already has.
 	Have Ballot
 }
 
 // Report answers Query.
 type Report struct {
-	// Round is the query's.
+	// Round is copied from the query.
 	Round uint64
 	Standing
 	Holding
 }
 
-// Probe asks a member whether its folder is empty.
+// Probe requests whether a member's folder is empty.
 type Probe struct {
-	// Nonce is of the asker's folder, Round counts its probes.
+	// Nonce is that of the requester's folder; Round counts its probe rounds.
 	Nonce uint64
 	Round uint64
 }
@@ -85,18 +87,18 @@
 // ProbeReply answers Probe.
 type ProbeReply struct {
 	Standing
-	// Echo and Round are the probe's.
+	// Echo is the nonce of the probe; Round is copied from it.
 	Echo  uint64
 	Round uint64
-	// Nonce is of the answering member's folder.
+	// Nonce is that of the answering member's folder.
 	Nonce uint64
-	// Empty says that the folder never held a vote or a chosen value.
+	// Empty says that the folder never held a vote, a value or unusable data.
 	Empty bool
-	// Founders are the nonces of all members at the first start.
+	// Founders holds the nonces of all members when the group was founded.
 	Founders [MaxMembers]uint64
 }
 
-// Fence asks a member for a promise on behalf of Member, which lost its disk.
+// Fence requests a promise on behalf of Member, which lost its disk.
 type Fence struct {
 	Ballot Ballot
 	Member MemberID
@@ -109,6 +111,6 @@
 	Ballot Ballot
 	// OK says that the promise was given.
 	OK bool
-	// Founders are the nonces of all members at the first start.
+	// Founders holds the nonces of all members when the group was founded.
 	Founders [MaxMembers]uint64
 }
--- a/internal/core/register/read.go
+++ b/internal/core/register/read.go
@@ -1,8 +1,8 @@
 package register
 
-// Read collects the reports of one query round. A quorum of reports shows the
-// newest chosen value without a ballot when its highest accepted value is
-// known to be chosen. It is not safe for concurrent use.
+// Read collects the reports of one query round. A quorum of reports yields the
+// newest chosen value without a ballot if the value accepted under the highest
+// ballot is known to be chosen. It is not safe for concurrent use.
 type Read struct {
 	group   Group
 	round   uint64
@@ -13,17 +13,18 @@
 	known   Holding
 }
 
-// NewRead returns a query round of an asker that holds have already. Each round
-// of an incarnation needs its own number: an answer to another round may be
-// stale, or lack a value that the asker no longer has.
+// NewRead returns a query round of a reader that already has the value of have.
+// Each round of an incarnation needs its own number: an answer to another round
+// may be stale, or lack a value that the reader no longer has.
 func NewRead(g Group, round uint64, have Holding) *Read {
 	return &Read{group: g, round: round, have: have, highest: have}
 }
 
-// Query returns the message to every member.
+// Query returns the message for every member.
 func (r *Read) Query() Query { return Query{Round: r.round, Have: r.have.Accepted} }
 
-// Report takes a member's answer.
+// Report handles a member's answer. It ignores those to other rounds and those
+// of members that don't vote.
 func (r *Read) Report(m Report) {
 	if !m.Voting || m.Round != r.round {
 		return
@@ -47,10 +48,10 @@
 // Quorum says whether a quorum reported.
 func (r *Read) Quorum() bool { return r.reports.count() >= r.group.Quorum() }
 
-// Chosen returns the newest chosen value, the empty Holding of an empty
-// register included. It returns false without a quorum of reports, and when
-// the highest accepted value isn't known to be chosen: an Attempt with Keep
-// finds out then.
+// Chosen returns the newest chosen value; for an empty register that is the
+// empty Holding. It returns false without a quorum of reports, and if the value
+// accepted under the highest ballot isn't known to be chosen: an Attempt with
+// Keep is then needed to read the register.
 func (r *Read) Chosen() (Holding, bool) {
 	if !r.Quorum() {
 		return Holding{}, false
@@ -68,8 +69,8 @@
 	return r.highest, r.highest.Committed
 }
 
-// Known returns the highest value that some member knows to be chosen, without
-// regard to a quorum; it need not be the newest.
+// Known returns the value with the highest ballot that is known to be chosen,
+// even without a quorum of reports. It need not be the newest chosen value.
 func (r *Read) Known() (Holding, bool) {
 	if h, chosen := r.Chosen(); chosen {
 		return h, true
@@ -77,5 +78,5 @@
 	return r.known, r.known.Committed
 }
 
-// Fences returns the newest fences that the reports name.
+// Fences returns the newest fence of each member in the reports.
 func (r *Read) Fences() Ballots { return r.reports.fences }
--- a/internal/core/register/register_test.go
+++ b/internal/core/register/register_test.go
@@ -32,10 +32,10 @@
 	is.Equal(first, port.Outcome{
 		ChangeID: "a", State: port.ChangeAccepted, Version: 1, Digest: v1.Digest, Operator: "ana",
 	})
-	v2, lost := apply(t, v1, proposal("b", "rui", 0))
-	is.Equal(lost, port.Outcome{
+	v2, conflict := apply(t, v1, proposal("b", "rui", 0))
+	is.Equal(conflict, port.Outcome{
 		ChangeID: "b", State: port.ChangeConflict, Version: 1, Digest: v1.Digest, Operator: "ana",
-	}) // the loser learns what won, and by whom
+	}) // the outcome names the current version and its operator
 	faulty := proposal("c", "rui", 1)
 	faulty.Invalid = true
 	v3, invalid := apply(t, v2, faulty)
@@ -44,7 +44,7 @@
 	_, ahead := apply(t, v3, proposal("d", "rui", 7))
 	is.Equal(ahead.State, port.ChangeConflict)
 
-	is.Equal(len(v3.Audit), 3) // refused changes are audited too
+	is.Equal(len(v3.Audit), 3) // refused changes have audit records too
 	is.Equal(v3.Audit[1].State, port.ChangeConflict)
 	is.Equal(v3.Audit[2].State, port.ChangeInvalid)
 	is.NoErr(audit.Verify(v3.Audit))
@@ -52,10 +52,10 @@
 	for _, c := range []struct {
 		resend register.Proposal
 		want   port.Outcome
-	}{{proposal("a", "ana", 0), first}, {proposal("b", "rui", 0), lost}, {faulty, invalid}} {
+	}{{proposal("a", "ana", 0), first}, {proposal("b", "rui", 0), conflict}, {faulty, invalid}} {
 		same, out := apply(t, v3, c.resend)
 		is.Equal(out, c.want)
-		is.True(same == v3) // a resend changes nothing
+		is.True(same == v3) // a resend returns the value itself
 	}
 	for _, other := range []register.Proposal{
 		proposal("a", "eva", 0), proposal("a", "ana", 1),
@@ -70,7 +70,7 @@
 	is.Equal(lifted.State, port.ChangeLifted)
 	is.Equal(v4.Config, v3.Config)
 	is.NoErr(audit.Verify(v4.Audit))
-	_, _, err = register.Apply(v4, proposal("l", "rui", 1)) // the ID of a lift is used
+	_, _, err = register.Apply(v4, proposal("l", "rui", 1)) // the ID belongs to a lift
 	is.True(errors.Is(err, register.ErrChangeIDReused))
 	lift.ID = "a"
 	_, _, err = register.ApplyLift(v4, lift)
@@ -79,7 +79,9 @@
 	is.True(errors.Is(err, register.ErrNoChangeID))
 }
 
-func TestForgottenChangeIsNeitherRefusedNorAppliedAgain(t *testing.T) {
+// TestResendAfterDroppedDecisionIsUnknown resends a change whose decision no longer
+// fits into the value: it must be neither refused nor applied twice.
+func TestResendAfterDroppedDecisionIsUnknown(t *testing.T) {
 	is := is.New(t)
 	v, _ := apply(t, nil, proposal("first", "ana", 0))
 	for i := range uint64(register.MaxAudit + 50) {
@@ -92,7 +94,7 @@
 	is.Equal(out.State, port.ChangeUnknown)
 	is.True(same == v)
 	_, out = apply(t, v, proposal("late", "ana", v.Decisions[0].Version))
-	is.Equal(out.State, port.ChangeConflict) // it can't have been decided before
+	is.Equal(out.State, port.ChangeConflict) // no accepted change with this base was dropped
 }
 
 func TestBallotsAreNeverReused(t *testing.T) {
@@ -107,8 +109,9 @@
 	is.True(register.Ballot{Round: 9, Member: 2, Incarnation: 3}.Less(first.Next()))
 }
 
-// TestStartNeedsAllEmptyAtOneInstant has members say that they are empty at
-// different times: one of them may have voted and lost its disk in between.
+// TestStartNeedsAllEmptyAtOneInstant guards against founding a group twice: if the
+// members report empty folders at different times, one of them may have voted and
+// lost its disk in between.
 func TestStartNeedsAllEmptyAtOneInstant(t *testing.T) {
 	reply := func(from register.MemberID, nonce uint64, p register.Probe) register.ProbeReply {
 		return register.ProbeReply{
@@ -132,16 +135,16 @@
 			s.Reply(reply(1, 11, p))
 			s.Reply(reply(2, 12, p))
 		}, false},
-		{"another folder each time", false, func(s *register.Start, n int) {
+		{"another nonce in each round", false, func(s *register.Start, n int) {
 			p := s.Probe()
 			s.Reply(reply(1, 11, p))
 			s.Reply(reply(2, 12+uint64(n), p))
 		}, false},
-		{"never in one round", false, func(s *register.Start, n int) {
+		{"one member missing in each round", false, func(s *register.Start, n int) {
 			p := s.Probe()
 			s.Reply(reply(register.MemberID(1+n%2), 11, p))
 		}, false},
-		{"answers to another start", false, func(s *register.Start, _ int) {
+		{"answers with another nonce", false, func(s *register.Start, _ int) {
 			p := s.Probe()
 			p.Nonce++
 			s.Reply(reply(1, 11, p))
@@ -153,17 +156,17 @@
 			s.Reply(reply(1, 11, p))
 			s.Reply(reply(2, 12, p))
 		}, false},
-		{"one votes", false, func(s *register.Start, _ int) {
+		{"one member votes", false, func(s *register.Start, _ int) {
 			p := s.Probe()
 			s.Reply(voting(reply(1, 11, p)))
 			s.Reply(reply(2, 12, p))
 		}, false},
-		{"a founder knows this folder", false, func(s *register.Start, _ int) {
+		{"a voting member lists this folder as a founder", false, func(s *register.Start, _ int) {
 			m := voting(reply(1, 11, s.Probe()))
 			m.Founders[0] = 10
 			s.Reply(m)
 		}, true},
-		{"a founder knew an earlier folder", false, func(s *register.Start, _ int) {
+		{"a voting member lists an earlier folder as a founder", false, func(s *register.Start, _ int) {
 			m := voting(reply(1, 11, s.Probe()))
 			m.Founders[0] = 9
 			s.Reply(m)
--- a/internal/core/register/repair.go
+++ b/internal/core/register/repair.go
@@ -1,8 +1,9 @@
 package register
 
-// Repair is one try of a member without its state to vote again: it makes
-// n-q+1 other voting members promise a new ballot and takes over the highest
-// value that they accepted. It is not safe for concurrent use.
+// Repair is one attempt of a member that lost its state to vote again. It
+// collects promises for a new ballot from n-q+1 other voting members and adopts
+// the value that they accepted under the highest ballot. It is not safe for
+// concurrent use.
 type Repair struct {
 	group    Group
 	self     MemberID
@@ -14,28 +15,31 @@
 	rejected bool
 }
 
-// Result is the state that a repair gathered.
+// Result is the state that a repair collected.
 type Result struct {
 	// Ballot is the fence and the member's new generation.
 	Ballot Ballot
-	// Fences are the newest fences of all members.
+	// Fences holds the newest known fence of each member.
 	Fences Ballots
-	// Founders are the nonces of all members at the first start.
+	// Founders holds the nonces of all members when the group was founded.
 	Founders [MaxMembers]uint64
-	// Accepted and Value are the highest that the others accepted.
+	// Accepted is the highest ballot under which the promising members accepted
+	// a value, which is Value.
 	Accepted Ballot
 	Value    *Value
 }
 
-// NewRepair returns a try under a ballot that nothing else has.
+// NewRepair returns a repair under a ballot that no attempt and no other repair
+// uses.
 func NewRepair(g Group, self MemberID, b Ballot) *Repair {
 	return &Repair{group: g, self: self, ballot: b}
 }
 
-// Fence returns the message to every other member.
+// Fence returns the message for every other member.
 func (r *Repair) Fence() Fence { return Fence{Ballot: r.ballot, Member: r.self} }
 
-// Fenced takes a member's answer. It returns true when the repair is done.
+// Fenced handles a member's answer. It returns true when enough members have
+// promised.
 func (r *Repair) Fenced(m Fenced) bool {
 	r.seen = maxBallot(r.seen, m.Promised)
 	if m.Ballot != r.ballot || m.Member == r.self || !m.Voting {
@@ -53,17 +57,17 @@
 	return r.Done()
 }
 
-// Done says whether enough members promised.
+// Done says whether enough members have promised.
 func (r *Repair) Done() bool { return r.fenced.count() >= r.group.RepairQuorum() }
 
-// Rejected says whether a member promised a higher ballot: a new try needs one
-// above Seen.
+// Rejected says whether a member refused because it promised a higher ballot. A
+// new repair then needs a ballot above Seen.
 func (r *Repair) Rejected() bool { return r.rejected }
 
-// Seen returns the highest ballot that members said they promised.
+// Seen returns the highest ballot that members reported as promised.
 func (r *Repair) Seen() Ballot { return r.seen }
 
-// Result returns what was gathered; it holds only when the repair is done.
+// Result returns the collected state. It is valid only when the repair is done.
 func (r *Repair) Result() Result {
 	fences := r.fenced.fences
 	fences[r.self] = maxBallot(fences[r.self], r.ballot)
--- a/internal/core/register/start.go
+++ b/internal/core/register/start.go
@@ -1,33 +1,34 @@
 package register
 
-// Start finds out how a member without a vote may get it: as a founder, when
-// every member's folder was empty at one instant, or by a repair.
+// Start decides how a member that doesn't vote yet may begin to vote: as a
+// founder, if every member's folder was empty at one instant, or by a repair.
 //
-// It collects the answers of all members twice. A member that says in both
-// rounds that its folder is empty, with the same nonce, was empty throughout
-// the time between; so all were empty when the first round ended. Members that
-// founded the group keep the nonces of that instant, and a member whose own
-// nonce is among them hasn't voted since. It is not safe for concurrent use.
+// It collects the answers of all members in two consecutive rounds. A folder
+// that is reported empty in both, with the same nonce, was empty throughout the
+// time between; so all were empty when the first round ended. Founders store the
+// nonces of all members at that instant, and a member whose current nonce is
+// among them hasn't voted since. It is not safe for concurrent use.
 type Start struct {
-	group  Group
-	self   MemberID
-	nonce  uint64
-	empty  bool
-	round  uint64
-	first  collection
-	second collection
-	found  bool
-	nonces [MaxMembers]uint64
-	voting [MaxMembers]bool
+	group     Group
+	self      MemberID
+	nonce     uint64
+	empty     bool
+	round     uint64
+	previous  probeRound
+	current   probeRound
+	isFounder bool
+	founders  [MaxMembers]uint64
+	voting    [MaxMembers]bool
 }
 
-// collection is the nonces of the members that said they are empty.
-type collection struct {
+// probeRound holds the answers to one round of probes: each member's nonce and
+// whether its folder is empty.
+type probeRound struct {
 	nonces [MaxMembers]uint64
 	empty  [MaxMembers]bool
 }
 
-func (c *collection) count() int {
+func (c *probeRound) count() int {
 	n := 0
 	for _, e := range c.empty {
 		if e {
@@ -37,61 +38,65 @@
 	return n
 }
 
-// NewStart returns the start of a member that doesn't vote. Only one whose
-// state is empty can be a founder by the answers of the others.
+// NewStart returns the start of a member that doesn't vote. If the member's own
+// state isn't empty, no probe rounds make it a founder.
 func NewStart(g Group, self MemberID, s State) *Start {
 	start := &Start{group: g, self: self, nonce: s.Nonce, empty: s.empty()}
 	return start
 }
 
-// Of says whether the start is of the folder that a state is from.
+// Of says whether s was created from the same folder as state, and the folder is
+// still as empty as then.
 func (s *Start) Of(state State) bool { return s.nonce == state.Nonce && s.empty == state.empty() }
 
-// Probe begins a round and returns its message to every other member. Answers
-// to earlier rounds no longer count.
+// Probe begins a round and returns its message for every other member. Answers
+// to earlier rounds that arrive later are ignored.
 func (s *Start) Probe() Probe {
 	s.round++
-	s.first = s.second
-	if s.first.count() < s.group.Members {
-		s.first = collection{}
+	s.previous = s.current
+	if s.previous.count() < s.group.Members {
+		s.previous = probeRound{}
 	}
-	s.second = collection{}
-	s.second.nonces[s.self] = s.nonce
-	s.second.empty[s.self] = s.empty
+	s.current = probeRound{}
+	s.current.nonces[s.self] = s.nonce
+	s.current.empty[s.self] = s.empty
 	s.voting = [MaxMembers]bool{}
-	s.check()
+	s.checkRounds()
 	return Probe{Nonce: s.nonce, Round: s.round}
 }
 
-// Reply takes a member's answer.
+// Reply handles a member's answer.
 func (s *Start) Reply(m ProbeReply) {
 	if m.Echo != s.nonce || m.Round != s.round || m.Member == s.self {
 		return
 	}
 	s.voting[m.Member] = m.Voting
-	s.second.nonces[m.Member] = m.Nonce
-	s.second.empty[m.Member] = m.Empty
+	s.current.nonces[m.Member] = m.Nonce
+	s.current.empty[m.Member] = m.Empty
 	if m.Voting && m.Founders[s.self] == s.nonce {
-		s.found = true
-		s.nonces = m.Founders
+		s.isFounder = true
+		s.founders = m.Founders
 		return
 	}
-	s.check()
+	s.checkRounds()
 }
 
-func (s *Start) check() {
-	if s.found || s.second.count() < s.group.Members || s.first != s.second {
+// checkRounds makes the member a founder if two consecutive rounds are complete
+// and equal.
+func (s *Start) checkRounds() {
+	if s.isFounder || s.current.count() < s.group.Members || s.previous != s.current {
 		return
 	}
-	s.found = true
-	s.nonces = s.second.nonces
+	s.isFounder = true
+	s.founders = s.current.nonces
 }
 
-// Founders returns the nonces to found the group with, and whether the member
-// may do so.
-func (s *Start) Founders() ([MaxMembers]uint64, bool) { return s.nonces, s.found }
+// Founders returns the nonces of all founders, and whether the member may vote
+// as one of them.
+func (s *Start) Founders() ([MaxMembers]uint64, bool) { return s.founders, s.isFounder }
 
-// CanRepair says whether enough members vote for a repair.
+// CanRepair says whether enough members reported in this round that they vote,
+// so that a repair can succeed.
 func (s *Start) CanRepair() bool {
 	n := 0
 	for _, v := range s.voting {
--- a/internal/core/register/value.go
+++ b/internal/core/register/value.go
@@ -9,57 +9,58 @@
 )
 
 const (
-	// MaxDecisions bounds the decisions that a value remembers.
+	// MaxDecisions is the largest number of decisions that a value keeps.
 	MaxDecisions = 256
-	// MaxAudit bounds the records of a value's audit trail.
+	// MaxAudit is the largest number of records in a value's audit trail.
 	MaxAudit = 1000
 )
 
-// ErrChangeIDReused means that a change ID came again with another document,
-// base version or operator. Nothing was proposed.
+// ErrChangeIDReused means that a change ID was used before for a change or lift
+// with another document, base version or operator. Nothing was proposed.
 var ErrChangeIDReused = errors.New("change ID was used for another change")
 
 // ErrNoChangeID means that a change has no ID. Nothing was proposed.
 var ErrNoChangeID = errors.New("change has no ID")
 
-// Value is what the register holds. A Value that was proposed is never
-// changed; members share it.
+// Value is the content of the register. A proposed Value is never modified, since
+// members share it.
 type Value struct {
-	// Config is the newest accepted document.
+	// Config is the newest accepted document with its version and digest.
 	port.Config
-	// Operator names who made it.
+	// Operator is the name of the operator who made that change.
 	Operator string
 	// Decisions are the last changes and their outcomes, oldest first.
 	Decisions []Decision
-	// Audit is the end of the audit trail, oldest first.
+	// Audit holds the newest records of the audit trail, oldest first.
 	Audit []port.AuditRecord
 }
 
-// Decision is the outcome of a change, kept to answer a resend.
+// Decision is the outcome of a change or a lift, kept to answer a resend.
 type Decision struct {
 	port.Outcome
-	// Request identifies the change that was decided.
+	// Request identifies the change or lift that was decided.
 	Request Request
 }
 
-// Request is the part of a change that must be the same in a resend.
+// Request is the part of a change or a lift that must be the same in a resend.
 type Request struct {
-	// Digest is the hex SHA-256 of the change's document.
+	// Digest is the hex SHA-256 of the change's document, or the fingerprint of
+	// a lift.
 	Digest string
-	// BaseVersion is the version that the change was made from.
+	// BaseVersion is the version that the change was made from; zero for a lift.
 	BaseVersion uint64
-	// Operator names who asks.
+	// Operator is the name of the requesting operator.
 	Operator string
 }
 
-// Proposal is a change on its way into the register.
+// Proposal proposes to apply a change to the register.
 type Proposal struct {
 	Change port.Change
 	// Digest is the hex SHA-256 of the change's document.
 	Digest string
-	// Invalid says that the document has faults.
+	// Invalid says that the document failed validation.
 	Invalid bool
-	// Time is when the change is decided.
+	// Time is the time of the decision, for the audit trail.
 	Time time.Time
 }
 
@@ -68,13 +69,14 @@
 }
 
 // Apply decides a proposal against the value v; nil is the empty register. It
-// returns the value to accept and the outcome that holds once a quorum has
-// accepted it. A refused change is a write too: it leaves the document and
-// adds a decision and an audit record. For a change that is decided already
-// the value is v itself and the outcome is the first one.
+// returns the value to propose and the outcome that is valid applyOnce a quorum has
+// accepted it. A refused change is a write too: it keeps the document and adds a
+// decision and an audit record. For a change that is already decided it returns
+// v itself and the first outcome; if that decision may have been dropped, v
+// itself and port.ChangeUnknown. The error is ErrNoChangeID or ErrChangeIDReused.
 func Apply(v *Value, p Proposal) (*Value, port.Outcome, error) {
-	return once(v, p.Change.ID, p.request(), func(v *Value) (*Value, port.Outcome) {
-		if v.mayHaveForgotten(p.Change.BaseVersion) {
+	return applyOnce(v, p.Change.ID, p.request(), func(v *Value) (*Value, port.Outcome) {
+		if v.mayHaveDropped(p.Change.BaseVersion) {
 			return v, v.outcome(p.Change.ID, port.ChangeUnknown)
 		}
 		next := &Value{Config: v.Config, Operator: v.Operator}
@@ -90,9 +92,10 @@
 	})
 }
 
-// once answers a write that is decided already with v itself and its first
-// outcome, and lets any other be decided. A nil v is the empty register.
-func once(v *Value, id string, r Request, decide func(v *Value) (*Value, port.Outcome)) (*Value, port.Outcome, error) {
+// applyOnce makes writes idempotent: for one that is already decided it returns v
+// itself and the first outcome, and it calls decide for any other. A nil v is the
+// empty register.
+func applyOnce(v *Value, id string, r Request, decide func(v *Value) (*Value, port.Outcome)) (*Value, port.Outcome, error) {
 	if id == "" {
 		return nil, port.Outcome{}, ErrNoChangeID
 	}
@@ -109,8 +112,8 @@
 	return next, out, nil
 }
 
-// record adds a decision and its audit record to those of the value before, and
-// returns the outcome.
+// record sets the decisions and the audit trail of v to those of the value before,
+// with a new decision and audit record added. It returns the outcome.
 func (v *Value) record(before *Value, r Request, a port.AuditRecord) port.Outcome {
 	out := v.outcome(a.ChangeID, a.State)
 	v.Decisions = appendDecision(before.Decisions, Decision{Outcome: out, Request: r})
@@ -142,10 +145,11 @@
 	return Decision{}, false
 }
 
-// mayHaveForgotten says whether a change made from base could be a resend of
-// one whose decision was dropped. Such a change was decided before the oldest
-// decision that is kept, at a version no lower than its base.
-func (v *Value) mayHaveForgotten(base uint64) bool {
+// mayHaveDropped says whether a change made from base may be a resend of an
+// accepted one whose decision was dropped. Such a change raised the version above
+// its base before the oldest kept decision was made. The resend of a dropped
+// refused change whose base isn't below that version is decided again.
+func (v *Value) mayHaveDropped(base uint64) bool {
 	return len(v.Decisions) == MaxDecisions && base < v.Decisions[0].Version
 }
 
