--- a/internal/core/audit/audit.go
+++ b/internal/core/audit/audit.go
@@ -12,12 +12,12 @@
 	"sassafrasreach/internal/port"
 )
 
-// ErrBroken means that the chain of records doesn't verify.
+// ErrBroken means that a record's hash or its link to the record before is wrong.
 var ErrBroken = errors.New("audit chain is broken")
 
 // Append returns trail with record at its end, chained to the record before
-// it. The trail keeps the last limit records; the first kept one still names
-// the hash of its dropped predecessor. The given slice is not changed.
+// it. The result keeps the last limit records; the first kept one still holds
+// the hash of its dropped predecessor. The given slice is not modified.
 func Append(trail []port.AuditRecord, record port.AuditRecord, limit int) []port.AuditRecord {
 	record.Time = record.Time.Round(0).UTC()
 	record.Previous = ""
@@ -36,21 +36,23 @@
 
 // Verify checks the hash of every record and its link to the record before it.
 // The first record's link can't be checked: its predecessor may have been
-// dropped. The error wraps ErrBroken and names the first bad record.
+// dropped. Records missing at either end are not detected. The error wraps
+// ErrBroken and names the first bad record.
 func Verify(trail []port.AuditRecord) error {
 	for i, record := range trail {
 		if record.Hash != Hash(record) {
-			return fmt.Errorf("%w: record %d of change %q has another hash", ErrBroken, i, record.ChangeID)
+			return fmt.Errorf("%w: record %d of change %q doesn't match its hash", ErrBroken, i, record.ChangeID)
 		}
 		if i > 0 && record.Previous != trail[i-1].Hash {
-			return fmt.Errorf("%w: record %d of change %q doesn't follow its predecessor", ErrBroken, i, record.ChangeID)
+			return fmt.Errorf("%w: record %d of change %q doesn't hold the hash of the record before it", ErrBroken, i, record.ChangeID)
 		}
 	}
 	return nil
 }
 
-// Hash returns the hex SHA-256 over all fields of the record but Hash. Each
-// text field is preceded by its length, so that no two records share an input.
+// Hash returns the hex SHA-256 over all fields of the record except Hash. Each
+// text field is preceded by its length, so that different records have different
+// inputs.
 func Hash(record port.AuditRecord) string {
 	sum := sha256.New()
 	writeUint(sum, uint64(record.Time.UnixNano()))
@@ -70,7 +72,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// TimeOf restores a record's time from its nanoseconds since the Unix epoch.
+// TimeOf returns the time of a record, in UTC, from nanoseconds since the Unix epoch.
 func TimeOf(unixNanos int64) time.Time { return time.Unix(0, unixNanos).UTC() }
 
 func writeUint(sum hash.Hash, n uint64) {
--- a/internal/core/audit/audit_test.go
+++ b/internal/core/audit/audit_test.go
@@ -23,15 +23,17 @@
 	return out
 }
 
+// TestVerify checks that a record that was changed, removed from the middle or
+// reordered is detected, and that records dropped at the beginning are not.
 func TestVerify(t *testing.T) {
 	cases := []struct {
-		name string
-		harm func([]port.AuditRecord) []port.AuditRecord
-		bad  bool
+		name   string
+		tamper func([]port.AuditRecord) []port.AuditRecord
+		bad    bool
 	}{
-		{"whole", func(r []port.AuditRecord) []port.AuditRecord { return r }, false},
+		{"unmodified", func(r []port.AuditRecord) []port.AuditRecord { return r }, false},
 		{"empty", func([]port.AuditRecord) []port.AuditRecord { return nil }, false},
-		{"beginning dropped", func(r []port.AuditRecord) []port.AuditRecord { return r[2:] }, false},
+		{"first records dropped", func(r []port.AuditRecord) []port.AuditRecord { return r[2:] }, false},
 		{"time", func(r []port.AuditRecord) []port.AuditRecord { r[1].Time = r[1].Time.Add(1); return r }, true},
 		{"operator", func(r []port.AuditRecord) []port.AuditRecord { r[1].Operator = "eva"; return r }, true},
 		{"change", func(r []port.AuditRecord) []port.AuditRecord { r[1].ChangeID = "x"; return r }, true},
@@ -50,7 +52,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			err := audit.Verify(c.harm(trail(4, 10)))
+			err := audit.Verify(c.tamper(trail(4, 10)))
 			is.New(t).Equal(errors.Is(err, audit.ErrBroken), c.bad)
 		})
 	}
--- a/internal/core/fingerprint/doc.go
+++ b/internal/core/fingerprint/doc.go
@@ -1,5 +1,5 @@
-// Package fingerprint identifies the content of a request.
+// Package fingerprint identifies the content of a request by a hash.
 //
-// Claims use it to notice that a key came again with another request, and
-// quarantine to recognise a request that crashes endpoints.
+// Claims use it to detect that an idempotency key is reused for another request,
+// and quarantine uses it to recognize a request that crashes endpoints.
 package fingerprint
--- a/internal/core/fingerprint/fingerprint.go
+++ b/internal/core/fingerprint/fingerprint.go
@@ -9,14 +9,14 @@
 	"hash"
 )
 
-// ErrBad is returned by Parse for text that is no fingerprint.
+// ErrBad is returned by Parse for text that isn't a fingerprint.
 var ErrBad = errors.New("bad fingerprint")
 
 // Fingerprint is the SHA-256 of a request's service, method, target and body.
 type Fingerprint [sha256.Size]byte
 
 // Of returns the fingerprint of a request. Each part is preceded by its length,
-// so that no two requests share an encoding.
+// so that different requests have different encodings.
 func Of(service, method, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	addPart(h, []byte(service))
@@ -35,10 +35,10 @@
 	_, _ = h.Write(part)
 }
 
-// String returns the fingerprint in hex.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse reads the text form; its error wraps ErrBad.
+// Parse parses the text form. Its error wraps ErrBad.
 func Parse(text string) (Fingerprint, error) {
 	var f Fingerprint
 	raw, err := hex.DecodeString(text)
--- a/internal/core/fleet/config.go
+++ b/internal/core/fleet/config.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Config is one version of what operators order.
+// Config is one version of the operators' configuration.
 type Config struct {
-	// Version grows with each accepted change.
+	// Version increases with each accepted change.
 	Version uint64  `json:"Version"`
 	Routes  []Route `json:"Routes"`
 	// Services are the names of services that endpoints may belong to.
@@ -20,13 +20,13 @@
 // Service is a group of endpoints that do the same work.
 type Service struct {
 	Name string `json:"Name"`
-	// HealthPath is where an endpoint tells its own health.
+	// HealthPath is the URL path of an endpoint's health check.
 	HealthPath string `json:"HealthPath"`
-	// Connections bounds the connections that an endpoint accepts.
+	// Connections is the largest number of connections that an endpoint accepts.
 	Connections int `json:"Connections"`
-	// ColdPerSecond is the rate of requests that a cold endpoint bears.
+	// ColdPerSecond is the request rate that a cold endpoint can serve.
 	ColdPerSecond float64 `json:"ColdPerSecond"`
-	// ColdTime is how long an endpoint is cold after its start.
+	// ColdTime is how long an endpoint is cold after its start (slow start).
 	ColdTime time.Duration `json:"ColdTime"`
 }
 
@@ -42,42 +42,42 @@
 type Route struct {
 	Name string `json:"Name"`
 	Host string `json:"Host"`
-	// Prefix begins and ends with a slash.
+	// Prefix is a path prefix that begins and ends with a slash.
 	Prefix string `json:"Prefix"`
 	// Idempotent says that a request may run more than once.
 	Idempotent bool `json:"Idempotent"`
-	// Priority is the rank, 0 the highest.
+	// Priority is the rank of the requests; 0 is the highest.
 	Priority int `json:"Priority"`
-	// Target is the time within which an answer earns full credit.
+	// Target is the target latency: an answer within it gets full credit.
 	Target time.Duration `json:"Target"`
-	// Timeout is the longest time that a request is kept waiting.
+	// Timeout is the longest time until the client gets an answer.
 	Timeout time.Duration `json:"Timeout"`
-	// Attempts bounds the endpoints that a request is sent to.
+	// Attempts is the largest number of endpoints to which a request is sent.
 	Attempts int `json:"Attempts"`
-	// Sticky says that an endpoint serves an object faster that it has served
-	// lately.
+	// Sticky says that an endpoint serves an object faster if it served it recently
+	// (cache affinity).
 	Sticky bool `json:"Sticky"`
-	// Parts share the requests by their weights; one part takes all.
+	// Parts divide the requests by weight; a single part gets all.
 	Parts []Part `json:"Parts"`
-	// Homes are the regions in which a request may run; empty means all.
+	// Homes holds the regions in which a request may run; empty means all.
 	Homes []string `json:"Homes"`
 }
 
-// Part is one service's share of a route.
+// Part is the share of a route's requests that one service gets.
 type Part struct {
 	Service string  `json:"Service"`
 	Weight  float64 `json:"Weight"`
 }
 
-// Table finds the route of a request. It is built once for each version and
-// safe for concurrent use.
+// Table looks up the route of a request. It is built once for each version of the
+// configuration and is safe for concurrent use.
 type Table struct {
 	config   *Config
 	byHost   map[string][]*Route
 	services map[string]*Service
 }
 
-// NewTable returns the table of a version, which must not be changed later.
+// NewTable returns the table of a configuration, which must not be modified later.
 func NewTable(c *Config) *Table {
 	t := &Table{config: c, byHost: make(map[string][]*Route), services: make(map[string]*Service)}
 	for i := range c.Routes {
@@ -93,11 +93,11 @@
 	return t
 }
 
-// Config returns the version that the table was built from.
+// Config returns the configuration that the table was built from.
 func (t *Table) Config() *Config { return t.config }
 
-// Route returns the route of the host with the longest prefix that begins the
-// path, or nil.
+// Route returns the route of the host with the longest prefix of path, or nil. The
+// host's case is ignored.
 func (t *Table) Route(host, path string) *Route {
 	for _, r := range t.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -107,11 +107,12 @@
 	return nil
 }
 
-// Service returns a service by name, or nil.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Pick returns the service for a point in [0, 1) of the weights' range; empty
-// if no part has a weight.
+// Pick selects a service by weight: point is a number in [0, 1) that is scaled to
+// the sum of the weights. It returns "" if the sum is 0, unless there is only one
+// part.
 func (r *Route) Pick(point float64) string {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
--- a/internal/core/fleet/doc.go
+++ b/internal/core/fleet/doc.go
@@ -1,6 +1,6 @@
-// Package fleet holds what operators order and what every VM of the system
-// must know of it: the routes, the services, the limits on clients and the
-// failure domains that are evacuated.
+// Package fleet decides which orders of operators change the system's state, and
+// defines that state: the routes, the services, the limits on clients and the
+// evacuated failure domains. Every VM needs them.
 //
 // The package has no I/O, goroutine or clock.
 package fleet
--- a/internal/core/fleet/golden_test.go
+++ b/internal/core/fleet/golden_test.go
@@ -13,7 +13,7 @@
 	"sassafrasreach/internal/core/fleet"
 )
 
-// storedState is the value in testdata/state.json.gz, with no field at zero.
+// storedState is the value in testdata/state.json.gz. No field has its zero value.
 var storedState = fleet.State{
 	Config: fleet.Config{
 		Version: 42,
@@ -36,7 +36,7 @@
 }
 
 // TestStoredStateKeepsItsNames reads a state that an earlier release stored and
-// writes it again: a renamed Go field must not change the stored names.
+// encodes it again, since the rename of a Go field could change the stored names.
 func TestStoredStateKeepsItsNames(t *testing.T) {
 	is := is.New(t)
 	stored, err := os.ReadFile("testdata/state.json.gz")
@@ -46,14 +46,14 @@
 	is.Equal(*state, storedState)
 	again, err := state.Encode()
 	is.NoErr(err)
-	// The compressed bytes may change with the Go release, their content may not.
-	is.Equal(unpack(t, again), unpack(t, stored))
+	// The compressed bytes may change with the Go release, but not their content.
+	is.Equal(decompress(t, again), decompress(t, stored))
 }
 
-func unpack(t *testing.T, packed []byte) string {
+func decompress(t *testing.T, compressed []byte) string {
 	t.Helper()
 	is := is.New(t)
-	reader, err := gzip.NewReader(bytes.NewReader(packed))
+	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	is.NoErr(err)
 	text, err := io.ReadAll(reader)
 	is.NoErr(err)
--- a/internal/core/fleet/state.go
+++ b/internal/core/fleet/state.go
@@ -13,42 +13,45 @@
 )
 
 var (
-	// ErrConflict means that a change builds on another version than the
-	// current one. Nothing was changed.
+	// ErrConflict means that a change is based on another version than the
+	// current one, or that its version isn't higher. Nothing was changed.
 	ErrConflict = errors.New("another version is current")
-	// ErrNoChange means that the order is in force already.
+	// ErrNoChange means that the order changes nothing: it is already in force, its
+	// configuration was accepted before, or it is the zero Order.
 	ErrNoChange = errors.New("order is in force already")
 	// ErrUnreadable means that a stored state can't be decoded.
 	ErrUnreadable = errors.New("stored state can't be read")
 )
 
-// maxAccepted bounds the digests that a state remembers to answer a resend.
-const maxAccepted = 2000
+// maxAcceptedDigests is the largest number of digests that a state keeps to
+// recognize a resend.
+const maxAcceptedDigests = 2000
 
-// State is the whole of what operators have ordered.
+// State is the result of all orders of operators.
 type State struct {
 	Config Config `json:"Config"`
-	// Source is the configuration as the operator sent it.
+	// Source is the configuration in the form in which the operator sent it.
 	Source []byte `json:"Source"`
-	// Accepted are digests of the sources of the accepted versions, oldest first.
+	// Accepted holds the digests of the sources of accepted versions, oldest first.
 	Accepted []string `json:"Accepted"`
-	// Evacuated are the failure domains that get no requests, sorted.
+	// Evacuated holds the failure domains that get no requests, sorted.
 	Evacuated []string `json:"Evacuated"`
 }
 
-// Change replaces the configuration.
+// Change is a replacement of the configuration.
 type Change struct {
-	// Base is the version that the change builds on.
+	// Base is the version that the change was made from.
 	Base   uint64 `json:"Base"`
 	Config Config `json:"Config"`
 	Source []byte `json:"Source"`
 }
 
-// Order is one order of an operator; the zero Order only reads.
+// Order is one order of an operator. The zero Order changes nothing.
 type Order struct {
-	// Change is a new configuration; nil if the order is another.
+	// Change is a new configuration; nil in an order to evacuate.
 	Change *Change
-	// Zone is evacuated or taken back; empty if the order is another.
+	// Zone is the failure domain to evacuate if Evacuated is true, or to put back
+	// into use; empty in an order to change the configuration.
 	Zone      string
 	Evacuated bool
 }
@@ -66,8 +69,8 @@
 	}
 }
 
-// digestBytes is the length of a digest that a state remembers; 96 bits make a
-// collision among all changes of a system's life implausible.
+// digestBytes is the length of a digest in a state. 96 bits make a collision
+// among all changes during a system's lifetime implausible.
 const digestBytes = 12
 
 func digest(source []byte) string {
@@ -75,7 +78,8 @@
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
-// change applies a configuration; one that was accepted before is ErrNoChange.
+// change applies a configuration. The error is ErrNoChange for one that was accepted
+// before, so that a resend is idempotent.
 func (s *State) change(c Change) (*State, error) {
 	d := digest(c.Source)
 	if slices.Contains(s.Accepted, d) {
@@ -86,11 +90,11 @@
 	}
 	next := *s
 	next.Config, next.Source = c.Config, c.Source
-	next.Accepted = append(slices.Clone(s.Accepted[max(0, len(s.Accepted)-maxAccepted+1):]), d)
+	next.Accepted = append(slices.Clone(s.Accepted[max(0, len(s.Accepted)-maxAcceptedDigests+1):]), d)
 	return &next, nil
 }
 
-// evacuate empties a failure domain or takes it back.
+// evacuate marks a failure domain as evacuated or puts it back into use.
 func (s *State) evacuate(zone string, evacuated bool) (*State, error) {
 	if slices.Contains(s.Evacuated, zone) == evacuated {
 		return nil, ErrNoChange
@@ -107,39 +111,39 @@
 // InForce returns the part of the state that gateways need.
 func (s *State) InForce() *State { return &State{Config: s.Config, Evacuated: s.Evacuated} }
 
-// Encode returns the stored form of a state: compressed, since it crosses links
-// between regions with each change.
+// Encode returns the stored form of a state: JSON, compressed with gzip because
+// each change is sent over links between regions.
 func (s *State) Encode() ([]byte, error) {
 	var out bytes.Buffer
-	packed, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
+	compressed, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 	if err != nil {
 		return nil, fmt.Errorf("encode state: %w", err)
 	}
-	if err := json.NewEncoder(packed).Encode(s); err != nil {
+	if err := json.NewEncoder(compressed).Encode(s); err != nil {
 		return nil, fmt.Errorf("encode state: %w", err)
 	}
-	if err := packed.Close(); err != nil {
+	if err := compressed.Close(); err != nil {
 		return nil, fmt.Errorf("encode state: %w", err)
 	}
 	return out.Bytes(), nil
 }
 
-// Decode reads the stored form; nothing stored is the empty state. The error
+// Decode decodes the stored form of a state. No bytes are the empty state. The error
 // wraps ErrUnreadable.
 func Decode(encoded []byte) (*State, error) {
 	s := &State{}
 	if len(encoded) == 0 {
 		return s, nil
 	}
-	packed, err := gzip.NewReader(bytes.NewReader(encoded))
+	compressed, err := gzip.NewReader(bytes.NewReader(encoded))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
-	if err := json.NewDecoder(packed).Decode(s); err != nil {
+	if err := json.NewDecoder(compressed).Decode(s); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
-	// The end of the stream holds its checksum.
-	if _, err := io.Copy(io.Discard, packed); err != nil {
+	// The checksum is at the end of the stream and is verified when it is read.
+	if _, err := io.Copy(io.Discard, compressed); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	return s, nil
--- a/internal/core/fleet/validate.go
+++ b/internal/core/fleet/validate.go
@@ -10,15 +10,16 @@
 // maxTimeout is the longest timeout that a route may have.
 const maxTimeout = 10 * time.Minute
 
-// ErrInvalid means that a configuration can't be in force, whatever is now.
+// ErrInvalid means that a configuration is invalid, whatever the current one is.
 var ErrInvalid = errors.New("invalid configuration")
 
-// Validate returns an error that wraps ErrInvalid and names the first fault.
+// Validate checks the configuration. The error wraps ErrInvalid and describes the
+// first fault found.
 func (c *Config) Validate() error {
 	services := make(map[string]bool, len(c.Services))
 	for _, s := range c.Services {
 		if s.Name == "" || services[s.Name] {
-			return fmt.Errorf("%w: service %q is nameless or stands twice", ErrInvalid, s.Name)
+			return fmt.Errorf("%w: service %q has no name or is a duplicate", ErrInvalid, s.Name)
 		}
 		services[s.Name] = true
 	}
@@ -30,7 +31,7 @@
 		}
 		key := [2]string{r.Host, r.Prefix}
 		if seen[key] {
-			return fmt.Errorf("%w: route %q: host and prefix stand twice", ErrInvalid, r.Name)
+			return fmt.Errorf("%w: route %q: another route has the same host and prefix", ErrInvalid, r.Name)
 		}
 		seen[key] = true
 	}
--- a/internal/core/quorum/explore_test.go
+++ b/internal/core/quorum/explore_test.go
@@ -56,9 +56,9 @@
 }
 
 type proposal struct {
-	attempt  *quorum.Attempt
-	epoch    quorum.Epoch
-	proposer *proposer
+	attempt *quorum.Attempt
+	epoch   quorum.Epoch
+	owner   *proposer
 }
 
 type proposer struct {
@@ -155,7 +155,7 @@
 		}
 	}
 	a := quorum.NewAttempt(epoch, ballot, p.seed, quorum.Accepted{}, decide)
-	p.current = &proposal{attempt: a, epoch: epoch, proposer: p}
+	p.current = &proposal{attempt: a, epoch: epoch, owner: p}
 	for _, v := range epoch.Voters {
 		m := a.Prepare(v.ID)
 		s.net = append(s.net, packet{to: v.ID, attempt: p.current, prepare: &m})
@@ -168,7 +168,7 @@
 	case m.prepare != nil || m.accept != nil:
 		s.deliverToVoter(m)
 		return nil
-	case m.attempt.proposer.current != m.attempt:
+	case m.attempt.owner.current != m.attempt:
 		return nil // the proposer crashed or ended this attempt
 	default:
 		return s.deliverToProposer(m)
@@ -197,7 +197,7 @@
 }
 
 func (s *sim) deliverToProposer(m packet) error {
-	a, p := m.attempt.attempt, m.attempt.proposer
+	a, p := m.attempt.attempt, m.attempt.owner
 	if m.promise != nil && a.Promise(m.from, *m.promise) {
 		for _, v := range m.attempt.epoch.Voters {
 			accept := a.Accept(v.ID)
--- a/internal/core/register/start.go
+++ b/internal/core/register/start.go
@@ -17,8 +17,9 @@
 	previous  probeRound
 	current   probeRound
 	isFounder bool
-	founders  [MaxMembers]uint64
-	voting    [MaxMembers]bool
+	// nonces holds the nonces of the founders; it is valid only if isFounder is set.
+	nonces [MaxMembers]uint64
+	voting [MaxMembers]bool
 }
 
 // probeRound holds the answers to one round of probes: each member's nonce and
@@ -75,7 +76,7 @@
 	s.current.empty[m.Member] = m.Empty
 	if m.Voting && m.Founders[s.self] == s.nonce {
 		s.isFounder = true
-		s.founders = m.Founders
+		s.nonces = m.Founders
 		return
 	}
 	s.checkRounds()
@@ -88,12 +89,12 @@
 		return
 	}
 	s.isFounder = true
-	s.founders = s.current.nonces
+	s.nonces = s.current.nonces
 }
 
 // Founders returns the nonces of all founders, and whether the member may vote
 // as one of them.
-func (s *Start) Founders() ([MaxMembers]uint64, bool) { return s.founders, s.isFounder }
+func (s *Start) Founders() ([MaxMembers]uint64, bool) { return s.nonces, s.isFounder }
 
 // CanRepair says whether enough members reported in this round that they vote,
 // so that a repair can succeed.
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -1,9 +1,10 @@
-// Package registry decides what the system believes of endpoints: which
-// announcement is newer, who leaves, who is cold and who was heard of lately.
+// Package registry decides which announcement of an endpoint is the newest, and
+// when an endpoint is removed.
 //
-// An endpoint's start is an incarnation: the start time orders incarnations of
-// an ID, the sequence orders announcements within one. Leaving and being gone
-// are final within an incarnation, whatever arrives later.
+// Each start of an endpoint is an incarnation. The start time orders the
+// incarnations of an ID, the sequence orders the announcements within one. An
+// endpoint that announced that it is leaving, or that is gone, takes no new
+// requests for the rest of its incarnation, whatever arrives until it is removed.
 package registry
 
 import (
@@ -11,7 +12,7 @@
 	"time"
 )
 
-// Endpoint is what an endpoint last said of itself.
+// Endpoint is the newest announcement of an endpoint.
 type Endpoint struct {
 	ID      string
 	Address string
@@ -19,41 +20,48 @@
 	// Zone is the failure domain.
 	Zone  string
 	Slots int
-	// Born is the time of its start in Unix milliseconds, on its own clock.
-	Born     int64
+	// Born is the start time of the incarnation, in Unix milliseconds on the
+	// endpoint's clock.
+	Born int64
+	// Sequence increases with each announcement of the incarnation.
 	Sequence int64
-	// Leaving says that it takes no new requests; Gone, that it is signed off.
+	// Leaving says that the endpoint takes no new requests; Gone, that it signed
+	// off or that a newer endpoint has its address.
 	Leaving bool
 	Gone    bool
-	// Heard is when it was last heard of, on this VM's clock.
+	// Heard is the time of the announcement or sign-off, on this VM's clock.
 	Heard time.Time
-	// ColdUntil is when it is warm, on this VM's clock.
+	// ColdUntil is when the slow start of the endpoint ends, on this VM's clock.
 	ColdUntil time.Time
 }
 
 // Registry holds the newest announcement of each endpoint. It is not safe for
 // concurrent use.
 type Registry struct {
-	// forgetAfter is how long an endpoint that is silent or gone is remembered.
-	forgetAfter time.Duration
-	endpoints   map[string]*Endpoint
-	// changes counts the announcements that changed what is believed; changed
-	// holds the count at an endpoint's last change.
-	changes uint64
-	changed map[string]uint64
+	// retention is how long an endpoint is kept after its last announcement or
+	// sign-off.
+	retention time.Duration
+	endpoints map[string]*Endpoint
+	// revision increases with each change of an endpoint; changedAt holds the
+	// revision of each endpoint's last change.
+	revision  uint64
+	changedAt map[string]uint64
 }
 
-// New returns an empty registry.
-func New(forgetAfter time.Duration) *Registry {
+// New returns an empty registry that keeps an endpoint for the retention after its
+// last announcement or sign-off.
+func New(retention time.Duration) *Registry {
 	return &Registry{
-		forgetAfter: forgetAfter,
-		endpoints:   make(map[string]*Endpoint),
-		changed:     make(map[string]uint64),
+		retention: retention,
+		endpoints: make(map[string]*Endpoint),
+		changedAt: make(map[string]uint64),
 	}
 }
 
-// Learn takes an announcement, of the endpoint itself or passed on. It reports
-// whether it was news; an older one changes nothing.
+// Learn records an announcement that the endpoint sent or another VM forwarded. It
+// returns false, and changes nothing, if the announcement isn't newer than the
+// recorded one or would make a leaving or gone endpoint ready again. A sign-off
+// applies whatever its sequence.
 func (r *Registry) Learn(e Endpoint) bool {
 	old := r.endpoints[e.ID]
 	if old != nil {
@@ -61,33 +69,35 @@
 		case e.Born == old.Born && (old.Gone || old.Leaving) && !e.Leaving:
 			return false
 		case e.Born == old.Born && e.Gone && !old.Gone:
-			// A sign-off is news whatever its sequence.
+			// A sign-off is accepted with any sequence.
 		case order <= 0:
 			return false
 		}
 	}
-	r.displace(e)
-	r.changes++
+	r.endReplaced(e)
+	r.revision++
 	r.endpoints[e.ID] = &e
-	r.changed[e.ID] = r.changes
+	r.changedAt[e.ID] = r.revision
 	return true
 }
 
-// displace ends the other endpoints at the address of a newer one.
-func (r *Registry) displace(e Endpoint) {
+// endReplaced marks the other endpoints at e's address that started before e as
+// gone.
+func (r *Registry) endReplaced(e Endpoint) {
 	if e.Gone {
 		return
 	}
 	for id, other := range r.endpoints {
 		if id != e.ID && other.Address == e.Address && !other.Gone && other.Born < e.Born {
 			other.Gone, other.Leaving = true, true
-			r.changes++
-			r.changed[id] = r.changes
+			r.revision++
+			r.changedAt[id] = r.revision
 		}
 	}
 }
 
-// SignOff marks an endpoint as gone. It reports whether that was news.
+// SignOff marks an endpoint as gone and returns it. It returns false if the endpoint
+// is unknown or already gone.
 func (r *Registry) SignOff(id string, now time.Time) (Endpoint, bool) {
 	old := r.endpoints[id]
 	if old == nil || old.Gone {
@@ -95,13 +105,13 @@
 	}
 	next := *old
 	next.Gone, next.Leaving, next.Heard = true, true, now
-	r.changes++
+	r.revision++
 	r.endpoints[id] = &next
-	r.changed[id] = r.changes
+	r.changedAt[id] = r.revision
 	return next, true
 }
 
-// Get returns an endpoint.
+// Get returns an endpoint by its ID; false if it is unknown.
 func (r *Registry) Get(id string) (Endpoint, bool) {
 	e := r.endpoints[id]
 	if e == nil {
@@ -110,30 +120,31 @@
 	return *e, true
 }
 
-// Since returns the endpoints that changed after a count, and the count now.
-// A count of zero returns all.
-func (r *Registry) Since(count uint64) ([]Endpoint, uint64) {
-	if count == r.changes {
-		return nil, count
+// Since returns the endpoints that changed after a revision, and the current
+// revision. Zero returns all endpoints. Removals by Sweep are not reported.
+func (r *Registry) Since(after uint64) ([]Endpoint, uint64) {
+	if after == r.revision {
+		return nil, after
 	}
 	var out []Endpoint
-	for id, n := range r.changed {
-		if n > count {
+	for id, n := range r.changedAt {
+		if n > after {
 			out = append(out, *r.endpoints[id])
 		}
 	}
-	return out, r.changes
+	return out, r.revision
 }
 
-// Sweep forgets the endpoints that were not heard of for long and returns them.
+// Sweep removes the endpoints whose last announcement or sign-off is older than the
+// retention, and returns them.
 func (r *Registry) Sweep(now time.Time) []Endpoint {
-	var forgotten []Endpoint
+	var removed []Endpoint
 	for id, e := range r.endpoints {
-		if now.Sub(e.Heard) > r.forgetAfter {
-			forgotten = append(forgotten, *e)
+		if now.Sub(e.Heard) > r.retention {
+			removed = append(removed, *e)
 			delete(r.endpoints, id)
-			delete(r.changed, id)
+			delete(r.changedAt, id)
 		}
 	}
-	return forgotten
+	return removed
 }
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -25,28 +25,29 @@
 	return e
 }
 
-// TestOrder holds the order of announcements: start, then sequence; leaving and
-// being gone are final within a start.
+// TestOrder checks the order of announcements, by start time and then by sequence,
+// so that a delayed one replaces no newer one. Within an incarnation an endpoint
+// that is leaving or gone doesn't become ready again.
 func TestOrder(t *testing.T) {
 	first := announced("a", "1:1", 10, 5)
 	cases := []struct {
-		name string
-		have []registry.Endpoint
-		next registry.Endpoint
-		news bool
+		name     string
+		have     []registry.Endpoint
+		next     registry.Endpoint
+		accepted bool
 	}{
 		{"first", nil, first, true},
-		{"same again", []registry.Endpoint{first}, first, false},
-		{"next", []registry.Endpoint{first}, announced("a", "1:1", 10, 6), true},
-		{"late", []registry.Endpoint{first}, announced("a", "1:1", 10, 4), false},
-		{"started again, counts anew", []registry.Endpoint{first}, announced("a", "1:1", 11, 1), true},
-		{"late beat of an earlier start", []registry.Endpoint{first}, announced("a", "1:1", 9, 99), false},
-		{"leaves", []registry.Endpoint{first}, leaving(announced("a", "1:1", 10, 6)), true},
-		{"ready after it left", []registry.Endpoint{leaving(first)}, announced("a", "1:1", 10, 9), false},
-		{"leaving goes on", []registry.Endpoint{leaving(first)}, leaving(announced("a", "1:1", 10, 9)), true},
+		{"repeated", []registry.Endpoint{first}, first, false},
+		{"next sequence", []registry.Endpoint{first}, announced("a", "1:1", 10, 6), true},
+		{"earlier sequence", []registry.Endpoint{first}, announced("a", "1:1", 10, 4), false},
+		{"new start with a lower sequence", []registry.Endpoint{first}, announced("a", "1:1", 11, 1), true},
+		{"delayed announcement of an earlier start", []registry.Endpoint{first}, announced("a", "1:1", 9, 99), false},
+		{"leaving", []registry.Endpoint{first}, leaving(announced("a", "1:1", 10, 6)), true},
+		{"ready after leaving", []registry.Endpoint{leaving(first)}, announced("a", "1:1", 10, 9), false},
+		{"leaving again", []registry.Endpoint{leaving(first)}, leaving(announced("a", "1:1", 10, 9)), true},
 		{"sign-off with an old sequence", []registry.Endpoint{first}, gone(announced("a", "1:1", 10, 5)), true},
-		{"ready after it was gone", []registry.Endpoint{gone(first)}, announced("a", "1:1", 10, 9), false},
-		{"started again after it was gone", []registry.Endpoint{gone(first)}, announced("a", "1:1", 12, 1), true},
+		{"ready after being gone", []registry.Endpoint{gone(first)}, announced("a", "1:1", 10, 9), false},
+		{"new start after being gone", []registry.Endpoint{gone(first)}, announced("a", "1:1", 12, 1), true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,15 +57,16 @@
 				r.Learn(e)
 			}
 			_, before := r.Since(0)
-			is.Equal(r.Learn(c.next), c.news)
+			is.Equal(r.Learn(c.next), c.accepted)
 			changed, after := r.Since(before)
-			is.Equal(after > before, c.news)
-			is.Equal(len(changed) > 0, c.news)
+			is.Equal(after > before, c.accepted)
+			is.Equal(len(changed) > 0, c.accepted)
 		})
 	}
 }
 
-// TestReusedAddress ends the endpoint whose address a later one has.
+// TestReusedAddress checks that an endpoint is gone when one that started later
+// announces the same address.
 func TestReusedAddress(t *testing.T) {
 	is := is.New(t)
 	r := registry.New(time.Minute)
@@ -72,7 +74,7 @@
 	r.Learn(announced("b", "1:1", 20, 1))
 	a, _ := r.Get("a")
 	is.True(a.Gone)
-	is.True(!r.Learn(announced("a", "1:1", 10, 6))) // a beat that was held up
+	is.True(!r.Learn(announced("a", "1:1", 10, 6))) // a delayed announcement
 	b, _ := r.Get("b")
 	is.True(!b.Gone)
 }
@@ -80,13 +82,13 @@
 func TestSignOffAndSweep(t *testing.T) {
 	is := is.New(t)
 	r := registry.New(time.Minute)
-	_, news := r.SignOff("a", now)
-	is.True(!news) // unknown
+	_, accepted := r.SignOff("a", now)
+	is.True(!accepted) // unknown
 	r.Learn(announced("a", "1:1", 10, 5))
-	e, news := r.SignOff("a", now)
-	is.True(news && e.Gone && e.Leaving)
-	_, news = r.SignOff("a", now)
-	is.True(!news)
+	e, accepted := r.SignOff("a", now)
+	is.True(accepted && e.Gone && e.Leaving)
+	_, accepted = r.SignOff("a", now)
+	is.True(!accepted)
 	is.Equal(len(r.Sweep(now.Add(time.Minute))), 0)
 	is.Equal(len(r.Sweep(now.Add(time.Minute+1))), 1)
 }
--- a/internal/core/verdict/doc.go
+++ b/internal/core/verdict/doc.go
@@ -1,6 +1,8 @@
-// Package verdict says whether a request may have run on an endpoint.
+// Package verdict classifies the failure of a request by whether the request may
+// have run on an endpoint, which decides if it is safe to send it again, and by a
+// reason.
 //
 // Every layer that carries a request returns its errors as *verdict.Error, so
-// that a caller is told NotRun only when that is certain. An error that has
-// lost its verdict counts as MayHaveRun, which is why that is the zero value.
+// that NotRun is reported to a caller only when it is certain. An error without a
+// verdict counts as MayHaveRun, which is therefore the zero value.
 package verdict
--- a/internal/core/verdict/reason.go
+++ b/internal/core/verdict/reason.go
@@ -1,61 +1,66 @@
 package verdict
 
-// Reason classes the failure of a request. Its text is stable: callers see it
-// in problem documents and entries pass it to each other.
+// Reason is the class of a request's failure. Its text is stable: callers receive
+// it in problem documents and entry VMs send it to each other.
 type Reason string
 
 const (
-	// ReasonInternal is a failure that has no class of its own.
+	// ReasonInternal is a failure without a more specific class.
 	ReasonInternal Reason = "internal"
-	// ReasonBadRequest is a request that can't be understood.
+	// ReasonBadRequest means that the request is malformed or has invalid parts.
 	ReasonBadRequest Reason = "bad-request"
-	// ReasonUnknownService names a service that the document doesn't have.
+	// ReasonUnknownService means that the document doesn't define the request's service.
 	ReasonUnknownService Reason = "unknown-service"
-	// ReasonUnknownPlace names a place that the document doesn't have.
+	// ReasonUnknownPlace means that the document doesn't define the request's place.
 	ReasonUnknownPlace Reason = "unknown-place"
-	// ReasonNoDocument means that the entry has no document yet.
+	// ReasonNoDocument means that the entry VM has no document yet.
 	ReasonNoDocument Reason = "no-document"
-	// ReasonDeadline means that the deadline passed.
+	// ReasonDeadline means that the request's deadline passed.
 	ReasonDeadline Reason = "deadline-exceeded"
-	// ReasonCanceled means that the caller went away.
+	// ReasonCanceled means that the caller canceled the request or disconnected.
 	ReasonCanceled Reason = "canceled"
-	// ReasonNoKey means that a once-only request came without a usable key.
+	// ReasonNoKey means that a request that may run only once has no usable
+	// idempotency key.
 	ReasonNoKey Reason = "key-required"
-	// ReasonKeyReused means that a key came again with another request.
+	// ReasonKeyReused means that an idempotency key was used before for another
+	// request.
 	ReasonKeyReused Reason = "key-reused"
-	// ReasonKeyExpired means that a key is older than the retention.
+	// ReasonKeyExpired means that an idempotency key is older than the retention.
 	ReasonKeyExpired Reason = "key-expired"
-	// ReasonHomeLost means that the entry that the key is homed on is gone.
+	// ReasonHomeLost means that the incarnation of the entry VM that was
+	// responsible for the idempotency key is gone.
 	ReasonHomeLost Reason = "home-lost"
-	// ReasonClaimsFull means that the claims table has no room.
+	// ReasonClaimsFull means that the table of claims is full.
 	ReasonClaimsFull Reason = "claims-full"
-	// ReasonTooLarge means that the request's body is over the service's bound.
+	// ReasonTooLarge means that the request's body is larger than the service allows.
 	ReasonTooLarge Reason = "body-too-large"
-	// ReasonOverload means that no slot comes free before the deadline.
+	// ReasonOverload means that no slot becomes free before the deadline.
 	ReasonOverload Reason = "overload"
-	// ReasonCap means that a rule or a link has no room for the request.
+	// ReasonCap means that the limit of a rule or a link is reached.
 	ReasonCap Reason = "cap-reached"
-	// ReasonNoEndpoint means that no endpoint of the service is in reach.
+	// ReasonNoEndpoint means that no endpoint of the service is reachable.
 	ReasonNoEndpoint Reason = "no-endpoint"
-	// ReasonNoOwner means that no entry owns the group now.
+	// ReasonNoOwner means that no entry VM owns the group at present.
 	ReasonNoOwner Reason = "no-owner"
-	// ReasonQuarantined means that the request is known to crash endpoints.
+	// ReasonQuarantined means that the request is quarantined because it is known to
+	// crash endpoints.
 	ReasonQuarantined Reason = "quarantined"
 	// ReasonShed means that the endpoint refused the request.
 	ReasonShed Reason = "shed"
-	// ReasonDial means that no connection could be made.
+	// ReasonDial means that no connection could be established.
 	ReasonDial Reason = "dial-failed"
-	// ReasonConnection means that a connection failed with the request on it.
+	// ReasonConnection means that a connection failed with the request in flight.
 	ReasonConnection Reason = "connection-failed"
-	// ReasonBadAnswer means that an answer was truncated, oversized or another
-	// request's.
+	// ReasonBadAnswer means that an answer was truncated, too large or for another
+	// request.
 	ReasonBadAnswer Reason = "bad-answer"
-	// ReasonStopping means that the entry is stopping.
+	// ReasonStopping means that the entry VM is stopping.
 	ReasonStopping Reason = "stopping"
-	// ReasonNoRoute means that no route covers the host and path.
+	// ReasonNoRoute means that no route matches the host and path.
 	ReasonNoRoute Reason = "no-route"
-	// ReasonNoDispatcher means that no controller in reach dispatches the region.
+	// ReasonNoDispatcher means that no reachable controller dispatches the region.
 	ReasonNoDispatcher Reason = "no-dispatcher"
-	// ReasonPeer means that another entry failed with the request.
+	// ReasonPeer means that another entry VM was unreachable or failed to handle
+	// the request.
 	ReasonPeer Reason = "peer-failed"
 )
--- a/internal/core/verdict/verdict.go
+++ b/internal/core/verdict/verdict.go
@@ -9,15 +9,16 @@
 type Verdict uint8
 
 const (
-	// MayHaveRun means that nobody can say. It is the zero value.
+	// MayHaveRun means that it is unknown whether the request ran. It is the zero
+	// value.
 	MayHaveRun Verdict = iota
-	// NotRun means that no endpoint started the request, nor ever will.
+	// NotRun means that no endpoint has started the request or will start it.
 	NotRun
 	// Ran means that an endpoint ran the request and its answer is known.
 	Ran
 )
 
-// ErrUnknownVerdict is returned by Parse for text that names no verdict.
+// ErrUnknownVerdict is returned by Parse for text that isn't a verdict.
 var ErrUnknownVerdict = errors.New("unknown verdict")
 
 // String returns the verdict as it appears in headers and logs.
@@ -32,8 +33,8 @@
 	}
 }
 
-// Parse reads the text form of a verdict. Unknown text gives MayHaveRun and an
-// error that wraps ErrUnknownVerdict.
+// Parse parses the text form of a verdict. For unknown text it returns MayHaveRun
+// and an error that wraps ErrUnknownVerdict.
 func Parse(text string) (Verdict, error) {
 	switch text {
 	case "not-run":
@@ -47,7 +48,7 @@
 	}
 }
 
-// Error is a failure of a request together with its verdict.
+// Error is the failure of a request, with its verdict and reason.
 type Error struct {
 	// Verdict says whether the request may have run.
 	Verdict Verdict
@@ -74,7 +75,7 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // Of returns the verdict of a request that ended with err: Ran for nil, the
-// verdict carried by an *Error in its chain, and MayHaveRun for any other.
+// verdict of an *Error in the chain of err, or MayHaveRun if there is none.
 func Of(err error) Verdict {
 	if err == nil {
 		return Ran
@@ -86,8 +87,8 @@
 	return MayHaveRun
 }
 
-// ReasonOf returns the reason carried by an *Error in the chain of err, or
-// ReasonInternal.
+// ReasonOf returns the reason of an *Error in the chain of err, or ReasonInternal if
+// there is none.
 func ReasonOf(err error) Reason {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/core/verdict/verdict_test.go
+++ b/internal/core/verdict/verdict_test.go
@@ -18,10 +18,10 @@
 		want verdict.Verdict
 	}{
 		{"nil", nil, verdict.Ran},
-		{"carried", notRun, verdict.NotRun},
+		{"direct", notRun, verdict.NotRun},
 		{"wrapped", fmt.Errorf("place: %w", notRun), verdict.NotRun},
-		{"lost", errors.New(notRun.Error()), verdict.MayHaveRun},
-		{"zero", &verdict.Error{}, verdict.MayHaveRun},
+		{"text only", errors.New(notRun.Error()), verdict.MayHaveRun},
+		{"zero value", &verdict.Error{}, verdict.MayHaveRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
