--- a/internal/core/register/explore/explore_test.go
+++ b/internal/core/register/explore/explore_test.go
@@ -63,9 +63,9 @@
 	t.Logf("%d schedules of %d steps, seeds from %d", schedules, explore.Steps, firstSeed)
 }
 
-// TestSeedsOfPastFaults runs seeds outside the range of TestExplorerFindsNoFault
+// TestSeedsThatFailedOnce runs seeds outside the range of TestExplorerFindsNoFault
 // that found faults which are fixed now.
-func TestSeedsOfPastFaults(t *testing.T) {
+func TestSeedsThatFailedOnce(t *testing.T) {
 	seeds := []uint64{
 		30_527_871, // a read counted a report from an old image of a disk
 	}
