--- a/internal/core/register/value.go
+++ b/internal/core/register/value.go
@@ -27,7 +27,7 @@
 type Value struct {
 	// Config is the newest accepted document with its version and digest.
 	port.Config
-	// Operator is the name of the operator who made that change.
+	// Operator is the name of the operator whose change set Config.
 	Operator string
 	// Decisions are the last changes and their outcomes, oldest first.
 	Decisions []Decision
