--- a/internal/core/fleet/config.go
+++ b/internal/core/fleet/config.go
@@ -12,7 +12,7 @@
 	// Version increases with each accepted change.
 	Version uint64  `json:"Version"`
 	Routes  []Route `json:"Routes"`
-	// Services are the names of services that endpoints may belong to.
+	// Services are the services that endpoints may belong to.
 	Services []Service `json:"Services"`
 	Limits   Limits    `json:"Limits"`
 }
@@ -30,7 +30,7 @@
 	ColdTime time.Duration `json:"ColdTime"`
 }
 
-// Limits bound what a client may send.
+// Limits are the limits on the requests and connections of clients.
 type Limits struct {
 	HeaderBytes   int64         `json:"HeaderBytes"`
 	BodyBytes     int64         `json:"BodyBytes"`
@@ -96,8 +96,8 @@
 // Config returns the configuration that the table was built from.
 func (t *Table) Config() *Config { return t.config }
 
-// Route returns the route of the host with the longest prefix of path, or nil. The
-// host's case is ignored.
+// Route returns the route of the host with the longest prefix of path, or nil. It
+// converts host to lower case, so the hosts of routes must be in lower case.
 func (t *Table) Route(host, path string) *Route {
 	for _, r := range t.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
--- a/internal/core/fleet/golden_test.go
+++ b/internal/core/fleet/golden_test.go
@@ -36,7 +36,8 @@
 }
 
 // TestStoredStateKeepsItsNames reads a state that an earlier release stored and
-// encodes it again, since the rename of a Go field could change the stored names.
+// encodes it again. It guards against a renamed Go field that changes the stored
+// names.
 func TestStoredStateKeepsItsNames(t *testing.T) {
 	is := is.New(t)
 	stored, err := os.ReadFile("testdata/state.json.gz")
--- a/internal/core/fleet/state.go
+++ b/internal/core/fleet/state.go
@@ -128,8 +128,8 @@
 	return out.Bytes(), nil
 }
 
-// Decode decodes the stored form of a state. No bytes are the empty state. The error
-// wraps ErrUnreadable.
+// Decode decodes the stored form of a state. Empty input is the empty state. The
+// error wraps ErrUnreadable.
 func Decode(encoded []byte) (*State, error) {
 	s := &State{}
 	if len(encoded) == 0 {
--- a/internal/core/quorum/attempt.go
+++ b/internal/core/quorum/attempt.go
@@ -78,8 +78,8 @@
 }
 
 // propose selects the value to propose. A sealed epoch keeps its last value. If the
-// change is declined, the current value is proposed again: once it is chosen, it
-// is certain that the change was declined because of a chosen value.
+// change is declined, the current value is proposed again: once it is chosen, the
+// value that the change was declined for is known to be a chosen one.
 func (a *Attempt) propose() bool {
 	a.phase = Accepting
 	if current := a.highest.Value; current != nil && current.Next != nil {
--- a/internal/core/quorum/explore_test.go
+++ b/internal/core/quorum/explore_test.go
@@ -225,7 +225,8 @@
 	return nil
 }
 
-// recordChosen checks a chosen value against the chain of those chosen before.
+// recordChosen checks a chosen value against the chain of those chosen before, and
+// updates the proposer's epoch and seed.
 func (s *sim) recordChosen(p *proposer, v *quorum.Value) error {
 	name := string(v.State)
 	if !s.chosen[name] {
@@ -300,7 +301,7 @@
 			s.net[i] = s.net[len(s.net)-1]
 			s.net = s.net[:len(s.net)-1]
 		}
-		if n > 16 || n < 12 { // otherwise it isn't delivered this time
+		if n > 16 || n < 12 { // otherwise it is dropped
 			return s.deliver(m)
 		}
 	}
@@ -336,7 +337,7 @@
 	}
 	t.Logf("%d values chosen, up to %d epochs", values, changes)
 	if values < n || changes < 4 {
-		t.Fatal("too few values or epochs for a significant test: want at least one value per schedule and 4 epochs")
+		t.Fatal("too few values or epochs for a significant test: want an average of at least one value per schedule, and 4 epochs")
 	}
 }
 
--- a/internal/core/quorum/types.go
+++ b/internal/core/quorum/types.go
@@ -45,7 +45,8 @@
 
 // Value is the content of the register. It is never modified after it was proposed.
 type Value struct {
-	// Sequence increases with each value.
+	// Sequence increases with each change of the content. A value that changes only
+	// the voters, and the first value of the next epoch, keep it.
 	Sequence uint64 `json:"Sequence"`
 	// State is the encoded content.
 	State []byte `json:"State"`
@@ -71,7 +72,7 @@
 	Newer Epoch
 	// Stranger says that the disk can't vote in the epoch: the process has
 	// another disk, the epoch doesn't name the disk, or the disk hasn't entered
-	// the epoch and the message has no value to enter it with.
+	// the epoch and the message is an Accept or has no Seed to enter it with.
 	Stranger bool
 }
 
--- a/internal/core/register/acceptor.go
+++ b/internal/core/register/acceptor.go
@@ -8,8 +8,8 @@
 	// Nonce is a random number drawn when the folder is first used. It
 	// distinguishes a folder that never voted from one that replaced it.
 	Nonce uint64
-	// Damaged says that the folder held unusable data. A damaged member counts
-	// as non-empty, so that no probe round makes it a founder.
+	// Damaged says that the folder held unusable data. Such a folder counts as
+	// non-empty, because the member may have voted before.
 	Damaged bool
 	// Founders holds the nonces of all members when the group was founded.
 	Founders [MaxMembers]uint64
@@ -66,7 +66,7 @@
 }
 
 // Prepare promises to ignore lower ballots, or refuses if a higher one was
-// promised. The flag says whether the state changed.
+// promised or the member doesn't vote. The flag says whether the state changed.
 func (a *Acceptor) Prepare(m Prepare) (Promise, bool) {
 	if !a.state.Voting || m.Ballot.Less(a.state.Promised) {
 		return Promise{Standing: a.standing(), Ballot: m.Ballot}, false
@@ -76,8 +76,8 @@
 	return Promise{Standing: a.standing(), Holding: a.holding(m.Have), Ballot: m.Ballot, OK: true}, changed
 }
 
-// Accept accepts a value, or refuses it if a higher ballot was promised. The
-// flag says whether the state changed.
+// Accept accepts a value, or refuses it if a higher ballot was promised or the
+// member doesn't vote. The flag says whether the state changed.
 func (a *Acceptor) Accept(m Accept) (Accepted, bool) {
 	if !a.state.Voting || m.Ballot.Less(a.state.Promised) {
 		return Accepted{Standing: a.standing(), Ballot: m.Ballot}, false
@@ -129,9 +129,9 @@
 	}
 }
 
-// Fence gives or refuses the promise that another member's repair requests, and
-// records the ballot as that member's fence. The flag says whether the state
-// changed.
+// Fence gives or refuses the promise that another member's repair requests. If it
+// gives the promise, it records the ballot as that member's fence. The flag says
+// whether the state changed.
 func (a *Acceptor) Fence(m Fence) (Fenced, bool) {
 	if !a.state.Voting || m.Ballot.Less(a.state.Promised) {
 		return Fenced{Standing: a.standing(), Ballot: m.Ballot}, false
@@ -146,8 +146,8 @@
 }
 
 // Found makes the member vote as a founder of the group, after the member's
-// Start returned the founders' nonces. The register is empty, unless a chosen
-// value was learned meanwhile.
+// Start returned the founders' nonces. The member has accepted no value yet, unless
+// it learned a chosen one meanwhile.
 func (a *Acceptor) Found(founders [MaxMembers]uint64) {
 	a.state.Voting = true
 	a.state.Founders = founders
--- a/internal/core/register/explore/handle.go
+++ b/internal/core/register/explore/handle.go
@@ -4,8 +4,8 @@
 	"sassafrasreach/internal/core/register"
 )
 
-// handle delivers a packet to its member. The simulated state is durable at once,
-// so always before the answer is sent.
+// handle delivers a packet to its member. A simulated state is durable at once, so
+// the rule holds that it is durable before the answer is sent.
 func (s *sim) handle(m *member, p packet) error {
 	switch b := p.body.(type) {
 	case register.Prepare:
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// copyRepair repairs a member without a fence, as the planted fault.
+// copyRepair is the repair of the planted fault RepairWithoutFence: it copies the
+// highest promise and value from reports.
 func (s *sim) copyRepair(m *member) {
 	if len(m.copiedReports) < s.group.RepairQuorum() {
 		return
@@ -117,8 +118,8 @@
 	m.acceptor.Repaired(r)
 }
 
-// finishAttempt reports the member's chosen value to the oracle and announces it
-// to the other members.
+// finishAttempt reports the member's chosen value and its outcome to the oracle, and
+// announces the value to all members.
 func (s *sim) finishAttempt(m *member) error {
 	a := m.attempt
 	if err := s.oracle.recordChosen(a.Ballot(), a.Value()); err != nil {
--- a/internal/core/register/explore/sim.go
+++ b/internal/core/register/explore/sim.go
@@ -94,8 +94,8 @@
 	m.attempt, m.op, m.start, m.repair, m.copiedReports, m.read = nil, nil, nil, nil, nil, nil
 }
 
-// loseDisk empties a member's disk, unless too many others have lost theirs or the
-// schedule had 4 losses already.
+// loseDisk replaces a member's disk by one without its state, unless too many others
+// have lost theirs or the schedule had 4 losses already.
 func (s *sim) loseDisk(m *member) {
 	if s.tooManyLost(m) || s.losses >= 4 {
 		return
--- a/internal/core/register/explore/step.go
+++ b/internal/core/register/explore/step.go
@@ -73,8 +73,9 @@
 	s.net = s.net[:len(s.net)-1]
 }
 
-// deliver hands the next packet to its member, unless that is frozen. The packet
-// may be delivered again if remove is false.
+// deliver hands the next packet to its member, unless the member is frozen. If
+// remove is false, the packet stays queued and may be delivered again. Random
+// packets above maxPackets are dropped first.
 func (s *sim) deliver(remove bool) error {
 	for len(s.net) > maxPackets {
 		s.dropPacket()
@@ -120,7 +121,8 @@
 	return s.channels[p.from][p.to][kind]
 }
 
-// startKind is the first of the kinds that starts, reads and repairs use.
+// startKind is the first packet kind that starts, reads and repairs use; kinds is
+// the number of kinds.
 const (
 	startKind = 6
 	kinds     = 10
--- a/internal/core/register/message.go
+++ b/internal/core/register/message.go
@@ -4,7 +4,8 @@
 type Standing struct {
 	Member MemberID
 	// Voting says that the member's state is complete and that its answers count
-	// for a quorum. If false, only a ProbeReply holds usable information.
+	// for a quorum. If false, nothing else in the answer counts, unless it is a
+	// ProbeReply.
 	Voting bool
 	// Generation is the fence of the member's last repair; zero if it was never
 	// repaired.
--- a/internal/core/register/read.go
+++ b/internal/core/register/read.go
@@ -69,8 +69,8 @@
 	return r.highest, r.highest.Committed
 }
 
-// Known returns the value with the highest ballot that is known to be chosen,
-// even without a quorum of reports. It need not be the newest chosen value.
+// Known returns the newest value that the reports show to be chosen, even without a
+// quorum of reports. It need not be the newest chosen value.
 func (r *Read) Known() (Holding, bool) {
 	if h, chosen := r.Chosen(); chosen {
 		return h, true
--- a/internal/core/register/start.go
+++ b/internal/core/register/start.go
@@ -40,14 +40,15 @@
 }
 
 // NewStart returns the start of a member that doesn't vote. If the member's own
-// state isn't empty, no probe rounds make it a founder.
+// state isn't empty, it becomes a founder only if a voting member reports its nonce
+// among those of the founders.
 func NewStart(g Group, self MemberID, s State) *Start {
 	start := &Start{group: g, self: self, nonce: s.Nonce, empty: s.empty()}
 	return start
 }
 
-// Of says whether s was created from the same folder as state, and the folder is
-// still as empty as then.
+// Of says whether s was created for the folder of state, and whether the folder
+// is empty hasn't changed since.
 func (s *Start) Of(state State) bool { return s.nonce == state.Nonce && s.empty == state.empty() }
 
 // Probe begins a round and returns its message for every other member. Answers
--- a/internal/core/register/value.go
+++ b/internal/core/register/value.go
@@ -19,7 +19,7 @@
 // with another document, base version or operator. Nothing was proposed.
 var ErrChangeIDReused = errors.New("change ID was used for another change")
 
-// ErrNoChangeID means that a change has no ID. Nothing was proposed.
+// ErrNoChangeID means that a change or lift has no ID. Nothing was proposed.
 var ErrNoChangeID = errors.New("change has no ID")
 
 // Value is the content of the register. A proposed Value is never modified, since
@@ -29,7 +29,7 @@
 	port.Config
 	// Operator is the name of the operator whose change set Config.
 	Operator string
-	// Decisions are the last changes and their outcomes, oldest first.
+	// Decisions holds the newest decisions on changes and lifts, oldest first.
 	Decisions []Decision
 	// Audit holds the newest records of the audit trail, oldest first.
 	Audit []port.AuditRecord
@@ -69,7 +69,7 @@
 }
 
 // Apply decides a proposal against the value v; nil is the empty register. It
-// returns the value to propose and the outcome that is valid applyOnce a quorum has
+// returns the value to propose and the outcome that is valid once a quorum has
 // accepted it. A refused change is a write too: it keeps the document and adds a
 // decision and an audit record. For a change that is already decided it returns
 // v itself and the first outcome; if that decision may have been dropped, v
@@ -147,8 +147,9 @@
 
 // mayHaveDropped says whether a change made from base may be a resend of an
 // accepted one whose decision was dropped. Such a change raised the version above
-// its base before the oldest kept decision was made. The resend of a dropped
-// refused change whose base isn't below that version is decided again.
+// its base before the oldest kept decision was made, so its base is below the
+// version of that decision. A resend is decided again if its refusal was dropped
+// and its base isn't below that version.
 func (v *Value) mayHaveDropped(base uint64) bool {
 	return len(v.Decisions) == MaxDecisions && base < v.Decisions[0].Version
 }
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -60,8 +60,8 @@
 
 // Learn records an announcement that the endpoint sent or another VM forwarded. It
 // returns false, and changes nothing, if the announcement isn't newer than the
-// recorded one or would make a leaving or gone endpoint ready again. A sign-off
-// applies whatever its sequence.
+// recorded one or would make a leaving or gone endpoint ready again. A sign-off of
+// the recorded incarnation applies whatever its sequence.
 func (r *Registry) Learn(e Endpoint) bool {
 	old := r.endpoints[e.ID]
 	if old != nil {
