--- a/internal/adapter/peergrpc/body.go
+++ b/internal/adapter/peergrpc/body.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// holdBytes is the part of a body that is held before it is passed on.
-	holdBytes = 1 << 20
-	// chunkBytes is the size of one message of a body.
+	// bufferedBodyBytes bounds the part of a response body that is buffered before
+	// the rest is streamed.
+	bufferedBodyBytes = 1 << 20
+	// chunkBytes bounds the part of a body that one message carries.
 	chunkBytes = 64 << 10
 )
 
-// errUnexpectedPart means that a stream broke the protocol.
-var errUnexpectedPart = errors.New("unexpected part of a forwarded answer")
+// errUnexpectedPart means that the peer sent a message part out of order.
+var errUnexpectedPart = errors.New("unexpected message part in a forwarded response")
 
-// forwardStream is the receiving side of Forward.
+// forwardStream is the receiving side of a Forward call.
 type forwardStream interface {
 	Recv() (*peerv1.ForwardResponse, error)
 }
 
-// receiveHead returns the head of the answer, or the peer's failure.
+// receiveHead returns the status and header of the response. A failure that the
+// peer reports is returned as a *verdict.Error.
 func receiveHead(stream forwardStream) (*peerv1.ResponseHead, error) {
 	message, err := stream.Recv()
 	if errors.Is(err, io.EOF) {
@@ -43,13 +45,13 @@
 	return head, nil
 }
 
-// bodyReader reads the chunks of an answer up to its end mark. A stream that
-// ends without the mark is truncated.
+// bodyReader reads the chunks of a response body up to the end marker. A stream
+// that ends without the marker is truncated and gives io.ErrUnexpectedEOF.
 type bodyReader struct {
-	stream forwardStream
-	end    func()
-	buf    []byte
-	ended  bool
+	stream   forwardStream
+	end      func()
+	buf      []byte
+	complete bool
 }
 
 // Read implements io.Reader.
@@ -64,9 +66,9 @@
 	return n, nil
 }
 
-// fill receives the next chunk; io.EOF means that the answer is whole.
+// fill receives the next chunk; io.EOF means that the response is complete.
 func (b *bodyReader) fill() error {
-	if b.ended {
+	if b.complete {
 		return io.EOF
 	}
 	message, err := b.stream.Recv()
@@ -81,7 +83,7 @@
 		b.buf = part.Chunk
 		return nil
 	case *peerv1.ForwardResponse_End:
-		b.ended = true
+		b.complete = true
 		return io.EOF
 	case *peerv1.ForwardResponse_Failure:
 		return failureFromProto(part.Failure)
@@ -90,12 +92,14 @@
 	}
 }
 
-// Close implements io.Closer.
+// Close implements io.Closer. It cancels the call.
 func (b *bodyReader) Close() error {
 	b.end()
 	return nil
 }
 
+// failureFromProto converts a failure that the peer reported. An unknown verdict
+// becomes MayHaveRun.
 func failureFromProto(f *peerv1.Failure) *verdict.Error {
 	v, err := verdict.Parse(f.GetVerdict())
 	if err != nil {
--- a/internal/adapter/peergrpc/client.go
+++ b/internal/adapter/peergrpc/client.go
@@ -17,7 +17,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// Client calls other entries. It implements port.PeerClient.
+// Client calls other entry VMs. It implements port.PeerClient.
 type Client struct {
 	conns *conns
 	clock port.Clock
@@ -25,8 +25,8 @@
 
 var _ port.PeerClient = (*Client)(nil)
 
-// NewClient returns a client without connections. It dials from the address
-// local; nil leaves the choice to the system.
+// NewClient returns a client without open connections. It dials from the IP
+// address local; if that is nil, the operating system chooses the address.
 func NewClient(clock port.Clock, local net.IP) *Client {
 	return &Client{conns: newConns(clock, local), clock: clock}
 }
@@ -34,23 +34,23 @@
 // Close closes every connection.
 func (c *Client) Close() { c.conns.closeAll() }
 
-// call runs one unary call. A call that ran into its deadline makes the
-// connection suspect: the next one starts on a new connection.
+// call runs one unary call. After a call that exceeded its deadline or found the
+// peer unavailable, the next call uses a new connection.
 func (c *Client) call(ctx context.Context, address string, do func(peerv1.PeerServiceClient) error) error {
-	conn, err := c.conns.get(ctx, address, needAny)
+	conn, err := c.conns.get(ctx, address, requireAny)
 	if err != nil {
 		return err
 	}
 	defer conn.release()
 	if err := do(peerv1.NewPeerServiceClient(conn.cc)); err != nil {
-		c.conns.suspect(address, conn, err)
+		c.conns.dropOnFailure(address, conn, err)
 		return fmt.Errorf("peer %s: %w", address, err)
 	}
-	conn.hear(c.clock.Now())
+	conn.recordSuccess(c.clock.Now())
 	return nil
 }
 
-// Heartbeat sends a heartbeat and returns the peer's.
+// Heartbeat sends a heartbeat and returns that of the peer.
 func (c *Client) Heartbeat(ctx context.Context, address string, hb membership.Heartbeat) (membership.Heartbeat, error) {
 	var reply membership.Heartbeat
 	err := c.call(ctx, address, func(peer peerv1.PeerServiceClient) error {
@@ -63,7 +63,7 @@
 	return reply, err
 }
 
-// Announce passes announcements on.
+// Announce forwards announcements of endpoints to the peer.
 func (c *Client) Announce(ctx context.Context, address string, batch []port.Announcement) error {
 	return c.call(ctx, address, func(peer peerv1.PeerServiceClient) error {
 		_, err := peer.Announce(ctx, announcementsToProto(batch))
@@ -71,7 +71,8 @@
 	})
 }
 
-// FetchDocument returns the peer's document when it is newer than have.
+// FetchDocument requests the peer's document. The argument have is the version
+// that the caller already has.
 func (c *Client) FetchDocument(ctx context.Context, address string, have uint64) (port.Config, error) {
 	var config port.Config
 	err := c.call(ctx, address, func(peer peerv1.PeerServiceClient) error {
@@ -88,7 +89,7 @@
 	return config, err
 }
 
-// HandOver gives claims to the peer.
+// HandOver transfers claims to the peer.
 func (c *Client) HandOver(ctx context.Context, address string, h claims.HandOver) error {
 	return c.call(ctx, address, func(peer peerv1.PeerServiceClient) error {
 		_, err := peer.HandOver(ctx, handOverToProto(h))
@@ -96,7 +97,8 @@
 	})
 }
 
-// Quarantine spreads fingerprints, or asks for those of the peer.
+// Quarantine sends quarantine rows to the peer. Without rows it requests those
+// of the peer.
 func (c *Client) Quarantine(ctx context.Context, address string, rows []port.QuarantineRow) ([]port.QuarantineRow, error) {
 	var held []port.QuarantineRow
 	err := c.call(ctx, address, func(peer peerv1.PeerServiceClient) error {
@@ -107,7 +109,7 @@
 	return held, err
 }
 
-// Borrow asks for a loan.
+// Borrow requests a loan and returns what the peer grants.
 func (c *Client) Borrow(ctx context.Context, address string, r port.LoanRequest) (port.LoanGrant, error) {
 	var grant port.LoanGrant
 	err := c.call(ctx, address, func(peer peerv1.PeerServiceClient) error {
@@ -120,13 +122,14 @@
 	return grant, err
 }
 
-// Forward carries a request to the peer. Every error is a *verdict.Error.
+// Forward sends a request to the peer. Every error is a *verdict.Error. When the
+// response's Rest is not nil, the caller must close it.
 func (c *Client) Forward(ctx context.Context, address string, f port.Forward) (*port.Response, error) {
-	wanted := needProven
+	required := requireRecent
 	if f.Fresh {
-		wanted = needNew
+		required = requireNew
 	}
-	conn, err := c.conns.get(ctx, address, wanted)
+	conn, err := c.conns.get(ctx, address, required)
 	if err != nil {
 		return nil, verdict.NewError(verdict.NotRun, verdict.ReasonPeer,
 			fmt.Errorf("%w: %s: %w", port.ErrPeerUnreachable, address, err))
@@ -138,22 +141,24 @@
 	}
 	stream, err := peerv1.NewPeerServiceClient(conn.cc).Forward(ctx, forwardToProto(f, c.clock.Now()))
 	if err != nil {
-		c.conns.suspect(address, conn, err)
+		c.conns.dropOnFailure(address, conn, err)
 		end()
 		return nil, verdict.NewError(verdict.MayHaveRun, verdict.ReasonPeer, err)
 	}
 	response, err := c.receive(stream, end)
 	if err != nil {
-		c.conns.suspect(address, conn, err)
+		c.conns.dropOnFailure(address, conn, err)
 		end()
 		return nil, forwardError(err)
 	}
-	conn.hear(c.clock.Now())
+	conn.recordSuccess(c.clock.Now())
 	return response, nil
 }
 
-// receive reads the head and as much of the body as is held whole. It calls
-// end when the stream has ended, unless the rest of the body is handed on.
+// receive reads the head and up to bufferedBodyBytes of the body. If the body is
+// complete by then, receive calls end; otherwise the response's Rest reads the
+// remaining body and calls end when it is closed. On an error, the caller must
+// call end.
 func (c *Client) receive(stream forwardStream, end func()) (*port.Response, error) {
 	head, err := receiveHead(stream)
 	if err != nil {
@@ -161,16 +166,16 @@
 	}
 	response := &port.Response{Status: int(head.GetStatus()), Header: headerFromProto(head.GetHeader())}
 	body := &bodyReader{stream: stream, end: end}
-	response.Body, err = io.ReadAll(io.LimitReader(body, holdBytes))
+	response.Body, err = io.ReadAll(io.LimitReader(body, bufferedBodyBytes))
 	if err != nil {
 		return nil, err
 	}
-	if !body.ended {
+	if !body.complete {
 		if err := body.fill(); err != nil && !errors.Is(err, io.EOF) {
 			return nil, err
 		}
 	}
-	if body.ended && len(body.buf) == 0 {
+	if body.complete && len(body.buf) == 0 {
 		end()
 		return response, nil
 	}
@@ -178,7 +183,8 @@
 	return response, nil
 }
 
-// forwardError gives every failure of a forwarded request its verdict.
+// forwardError converts an error of a forwarded request to a *verdict.Error. An
+// error that the peer reported keeps its verdict; any other is MayHaveRun.
 func forwardError(err error) error {
 	var failure *verdict.Error
 	if errors.As(err, &failure) {
--- a/internal/adapter/peergrpc/conn.go
+++ b/internal/adapter/peergrpc/conn.go
@@ -19,83 +19,86 @@
 )
 
 const (
-	// provenFor is how long a connection counts as alive after it was heard.
-	provenFor = time.Second
-	// keepaliveTime and keepaliveTimeout end idle connections that went silent.
+	// recentSuccess is how long a connection is taken for alive after a call on it
+	// succeeded or after it was created.
+	recentSuccess = time.Second
+	// A connection without activity for keepaliveTime is pinged, and closed if the
+	// ping isn't acknowledged within keepaliveTimeout.
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 2 * time.Second
-	// maxMessageBytes bounds one message either way.
+	// maxMessageBytes bounds one message in either direction.
 	maxMessageBytes = 16 << 20
-	// dialLimit bounds the wait for a new connection.
-	dialLimit = 500 * time.Millisecond
+	// dialTimeout bounds the wait for a connection to become ready.
+	dialTimeout = 500 * time.Millisecond
 )
 
-// errNotReady means that no connection became ready in time.
-var errNotReady = errors.New("peer connection not ready")
+// errNotReady means that the connection wasn't ready within dialTimeout, or that
+// dialing failed.
+var errNotReady = errors.New("connection not ready")
 
 // conn is one connection to a peer.
 type conn struct {
 	cc *grpc.ClientConn
 
-	mu      sync.Mutex
-	heard   time.Time // when the peer last answered on it
-	users   int       // calls in progress
-	retired bool      // closed as soon as users is zero
+	mu          sync.Mutex
+	lastSuccess time.Time // of a call; at first, when the connection was created
+	activeCalls int       // calls in flight
+	retired     bool      // the last call in flight closes the connection
 }
 
-// hear notes that the peer answered.
-func (c *conn) hear(now time.Time) {
+// recordSuccess records that a call succeeded at the given time.
+func (c *conn) recordSuccess(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard = now
+	c.lastSuccess = now
 }
 
-// meets says whether the connection is good enough.
-func (c *conn) meets(n need, now time.Time) bool {
+// meets reports whether the connection satisfies the requirement.
+func (c *conn) meets(r requirement, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch n {
-	case needAny:
+	switch r {
+	case requireAny:
 		return true
-	case needProven:
-		return now.Sub(c.heard) <= provenFor
+	case requireRecent:
+		return now.Sub(c.lastSuccess) <= recentSuccess
 	default:
 		return false
 	}
 }
 
-// acquire keeps the connection open until release.
+// acquire counts a call in flight; the connection stays open until release.
 func (c *conn) acquire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.users++
+	c.activeCalls++
 }
 
 func (c *conn) release() {
 	c.mu.Lock()
-	c.users--
-	idle := c.retired && c.users == 0
+	c.activeCalls--
+	idle := c.retired && c.activeCalls == 0
 	c.mu.Unlock()
 	if idle {
 		_ = c.cc.Close()
 	}
 }
 
-// retire closes the connection once its calls have ended.
+// retire closes the connection when no call on it is in flight any more.
 func (c *conn) retire() {
 	c.mu.Lock()
 	c.retired = true
-	idle := c.users == 0
+	idle := c.activeCalls == 0
 	c.mu.Unlock()
 	if idle {
 		_ = c.cc.Close()
 	}
 }
 
-// conns holds the connection to each address.
+// conns holds the current connection to each address.
 type conns struct {
 	clock port.Clock
-	local net.IP // the source address; nil leaves it to the system
+	local net.IP // the source address; nil: the operating system chooses it
 
 	mu     sync.Mutex
 	byAddr map[string]*conn
@@ -105,25 +108,26 @@
 	return &conns{clock: clock, local: local, byAddr: make(map[string]*conn)}
 }
 
-// need says how much is asked of a connection.
-type need uint8
+// requirement states which connections a call may use.
+type requirement uint8
 
 const (
-	// needAny takes the present connection.
-	needAny need = iota
-	// needProven replaces a connection that wasn't heard from within provenFor.
-	needProven
-	// needNew always replaces the present connection.
-	needNew
+	// requireAny accepts the current connection.
+	requireAny requirement = iota
+	// requireRecent replaces a connection without a success within recentSuccess.
+	requireRecent
+	// requireNew always replaces the current connection.
+	requireNew
 )
 
-// get returns the connection to address, acquired.
-func (s *conns) get(ctx context.Context, address string, n need) (*conn, error) {
-	c, err := s.pick(address, n)
+// get returns a connection to address that is ready and meets the requirement.
+// The caller must release it.
+func (s *conns) get(ctx context.Context, address string, r requirement) (*conn, error) {
+	c, err := s.pick(address, r)
 	if err != nil {
 		return nil, err
 	}
-	if err := ready(ctx, c.cc); err != nil {
+	if err := waitReady(ctx, c.cc); err != nil {
 		s.drop(address, c)
 		c.release()
 		return nil, err
@@ -131,12 +135,13 @@
 	return c, nil
 }
 
-// pick returns the present or a new connection, acquired.
-func (s *conns) pick(address string, n need) (*conn, error) {
+// pick returns the current connection if it meets the requirement, and else a
+// new one that replaces it. The caller must release it.
+func (s *conns) pick(address string, r requirement) (*conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, ok := s.byAddr[address]
-	if ok && old.meets(n, s.clock.Now()) {
+	if ok && old.meets(r, s.clock.Now()) {
 		old.acquire()
 		return old, nil
 	}
@@ -147,13 +152,13 @@
 	if ok {
 		old.retire()
 	}
-	fresh := &conn{cc: cc, heard: s.clock.Now()}
+	fresh := &conn{cc: cc, lastSuccess: s.clock.Now()}
 	fresh.acquire()
 	s.byAddr[address] = fresh
 	return fresh, nil
 }
 
-// drop takes c out of use, if it still is the connection to address.
+// drop retires c if it is still the current connection to address.
 func (s *conns) drop(address string, c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,15 +169,17 @@
 	c.retire()
 }
 
-// suspect drops a connection that failed or stayed silent.
-func (s *conns) suspect(address string, c *conn, err error) {
+// dropOnFailure drops c after a call on it failed with err, if err is an exceeded
+// deadline or an unavailable peer. Other errors don't show that the connection is
+// unusable.
+func (s *conns) dropOnFailure(address string, c *conn, err error) {
 	switch status.Code(err) {
 	case codes.DeadlineExceeded, codes.Unavailable:
 		s.drop(address, c)
 	}
 }
 
-// closeAll closes every connection.
+// closeAll closes the current connections; calls in flight on them fail.
 func (s *conns) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,10 +220,10 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// ready waits until the connection can carry a call; it gives up at once when
-// the dial failed.
-func ready(ctx context.Context, cc *grpc.ClientConn) error {
-	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+// waitReady waits until the connection is ready for a call, at most for
+// dialTimeout. It returns at once when dialing has failed.
+func waitReady(ctx context.Context, cc *grpc.ClientConn) error {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	cc.Connect()
 	for {
--- a/internal/adapter/peergrpc/control.go
+++ b/internal/adapter/peergrpc/control.go
@@ -9,7 +9,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// ControlClient asks control VMs for the document. It implements
+// ControlClient fetches the document from control VMs. It implements
 // port.ControlClient.
 type ControlClient struct {
 	conns *conns
@@ -18,25 +18,26 @@
 
 var _ port.ControlClient = (*ControlClient)(nil)
 
-// NewControlClient returns a client without connections. It dials from the
-// address local; nil leaves the choice to the system.
+// NewControlClient returns a client without open connections. It dials from the
+// IP address local; if that is nil, the operating system chooses the address.
 func NewControlClient(clock port.Clock, local net.IP) *ControlClient {
 	return &ControlClient{conns: newConns(clock, local), clock: clock}
 }
 
-// Fetch asks one control VM for a newer document and reports entries to it.
+// Fetch requests a document newer than q.Have from one control VM, and sends it
+// the reports of entry VMs in q.
 func (c *ControlClient) Fetch(ctx context.Context, address string, q port.FetchQuery) (port.FetchAnswer, error) {
-	conn, err := c.conns.get(ctx, address, needAny)
+	conn, err := c.conns.get(ctx, address, requireAny)
 	if err != nil {
 		return port.FetchAnswer{}, fmt.Errorf("control VM %s: %w", address, err)
 	}
 	defer conn.release()
 	response, err := registerv1.NewConfigServiceClient(conn.cc).Fetch(ctx, fetchToProto(q))
 	if err != nil {
-		c.conns.suspect(address, conn, err)
+		c.conns.dropOnFailure(address, conn, err)
 		return port.FetchAnswer{}, fmt.Errorf("control VM %s: %w", address, err)
 	}
-	conn.hear(c.clock.Now())
+	conn.recordSuccess(c.clock.Now())
 	return port.FetchAnswer{
 		Config: port.Config{
 			Version:  response.GetVersion(),
--- a/internal/adapter/peergrpc/convert_claims.go
+++ b/internal/adapter/peergrpc/convert_claims.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// handOverFromProto reads a hand-over. One with a row that can't be read isn't
-// complete.
+// handOverFromProto converts a hand-over. Rows that can't be decoded are left
+// out, and the hand-over is then marked as incomplete.
 func handOverFromProto(r *peerv1.HandOverRequest) claims.HandOver {
 	h := claims.HandOver{
 		From:     claims.Home{Entry: r.GetFrom(), Incarnation: r.GetIncarnation()},
@@ -52,13 +52,13 @@
 	}
 }
 
-// claimFromProto reads one claim; an unknown verdict reads as MayHaveRun.
+// claimFromProto converts one claim; an unknown verdict becomes MayHaveRun.
 func claimFromProto(r *peerv1.ClaimRow) (claims.Row, error) {
 	key, err := claims.ParseKey(r.GetKey())
 	if err != nil {
 		return claims.Row{}, err
 	}
-	print, err := fingerprint.Parse(r.GetFingerprint())
+	fp, err := fingerprint.Parse(r.GetFingerprint())
 	if err != nil {
 		return claims.Row{}, err
 	}
@@ -68,7 +68,7 @@
 	}
 	return claims.Row{
 		Key:         key,
-		Fingerprint: print,
+		Fingerprint: fp,
 		Outcome: claims.Outcome{
 			Verdict: v,
 			Reason:  verdict.Reason(r.GetReason()),
--- a/internal/adapter/peergrpc/doc.go
+++ b/internal/adapter/peergrpc/doc.go
@@ -1,8 +1,9 @@
-// Package peergrpc carries the protocol between entries over gRPC.
+// Package peergrpc implements the protocol between entry VMs over gRPC, and the
+// client with which an entry VM fetches the document from control VMs.
 //
-// The client keeps one connection to each peer. A connection that was not
-// heard from for a second is replaced by a new one before a request is
-// forwarded on it, since something between the VMs may have lost track of it.
-// A request counts as NotRun only while no connection was ready for it; after
-// that, only the peer's own word makes it so.
+// The client keeps one connection per peer. Before it forwards a request, it
+// replaces a connection on which no call has succeeded for a second: a network
+// device between the VMs may have lost the connection's state. A forwarded
+// request has the verdict NotRun only if no connection became ready for it, or
+// if the peer reports NotRun.
 package peergrpc
--- a/internal/adapter/peergrpc/peer_test.go
+++ b/internal/adapter/peergrpc/peer_test.go
@@ -23,7 +23,8 @@
 	"sassafrasreach/internal/testlink"
 )
 
-// fakePeer answers as told and keeps what it got.
+// fakePeer is a port.PeerHandler that records what it receives. It answers
+// Forward with its function, and other calls with fixed values or an echo.
 type fakePeer struct {
 	forward  func(ctx context.Context, f port.Forward) (*port.Response, error)
 	handed   claims.HandOver
@@ -50,7 +51,8 @@
 	return port.LoanGrant{Units: 3, Term: time.Second}
 }
 
-// start serves p and returns the address of a link to it.
+// start serves p and returns a link to it, in which faults can be injected, and a
+// client without open connections.
 func start(t *testing.T, p *fakePeer) (*testlink.Link, *peergrpc.Client) {
 	t.Helper()
 	clock := port.ClockFunc(time.Now)
@@ -72,16 +74,17 @@
 	return link, client
 }
 
-func request(once bool) *port.Request {
+func request(onceOnly bool) *port.Request {
 	return &port.Request{
 		ID: "id-1", Service: "desk", Origin: "north-a", Method: "POST", Target: "/x?y=1",
-		Header: http.Header{"X-A": {"1", "2"}}, Body: []byte("body"), OnceOnly: once,
+		Header: http.Header{"X-A": {"1", "2"}}, Body: []byte("body"), OnceOnly: onceOnly,
 		Deadline: time.Now().Add(20 * time.Second), MaxAnswerBytes: 4 << 20,
 	}
 }
 
-// TestMessages wants every message to arrive as it was sent.
-func TestMessages(t *testing.T) {
+// TestMessagesRoundTrip guards against fields that the conversion to protobuf
+// drops: every message must arrive as it was sent.
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	p := &fakePeer{}
 	link, client := start(t, p)
@@ -131,8 +134,9 @@
 	is.Equal(grant, port.LoanGrant{Units: 3, Term: time.Second})
 }
 
-// TestForward wants the request, its remaining time and the whole answer
-// carried, small and large.
+// TestForward guards against a forwarded request that loses fields or its
+// remaining time, and against truncated response bodies, from empty ones to those
+// that are streamed in chunks.
 func TestForward(t *testing.T) {
 	for _, size := range []int{0, 10, 1 << 20, 3<<20 + 17} {
 		is := is.New(t)
@@ -167,12 +171,13 @@
 	}
 }
 
-// broken ends with an error after its first bytes.
-type broken struct{ io.Reader }
+// noopCloser adds a Close method without effect to a reader.
+type noopCloser struct{ io.Reader }
 
-func (broken) Close() error { return nil }
+func (noopCloser) Close() error { return nil }
 
-// TestForwardVerdicts maps each failure of a forwarded request to its verdict.
+// TestForwardVerdicts guards against a wrong verdict of a failed request: NotRun
+// would let a request that may have run be sent again.
 func TestForwardVerdicts(t *testing.T) {
 	answer := &port.Response{Status: 200, Body: []byte("ok")}
 	cases := []struct {
@@ -188,19 +193,19 @@
 			}},
 		{name: "verdict lost at the peer", want: verdict.MayHaveRun, reached: true,
 			peer: func(context.Context, port.Forward) (*port.Response, error) { return nil, errors.New("lost") }},
-		{name: "peer gone before", want: verdict.NotRun,
+		{name: "link closed before the request", want: verdict.NotRun,
 			fault: func(l *testlink.Link) { l.Close() }},
-		{name: "cut before", want: verdict.NotRun,
+		{name: "link cut before the request", want: verdict.NotRun,
 			fault: func(l *testlink.Link) { l.Cut(testlink.Both) }},
-		{name: "answer lost", want: verdict.MayHaveRun, reached: true,
+		{name: "response after the deadline", want: verdict.MayHaveRun, reached: true,
 			peer: func(ctx context.Context, _ port.Forward) (*port.Response, error) {
 				<-ctx.Done()
-				time.Sleep(50 * time.Millisecond) // the caller's time ends a little later than the peer's
+				time.Sleep(50 * time.Millisecond) // the client's deadline expires slightly after the peer's context
 				return answer, nil
 			}},
-		{name: "answer truncated", want: verdict.MayHaveRun, reached: true,
+		{name: "response truncated", want: verdict.MayHaveRun, reached: true,
 			peer: func(context.Context, port.Forward) (*port.Response, error) {
-				rest := broken{io.MultiReader(bytes.NewReader([]byte("part")), errReader{})}
+				rest := noopCloser{io.MultiReader(bytes.NewReader([]byte("part")), errReader{})}
 				return &port.Response{Status: 200, Body: []byte("held"), Rest: rest}, nil
 			}},
 	}
@@ -233,8 +238,10 @@
 
 func (errReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// TestSilentConnection wants a connection that went silent replaced: at once
-// when it was not heard from lately, and by a fresh try otherwise.
+// TestSilentConnection guards against the further use of an established connection
+// that loses all bytes. It is replaced before a request is forwarded if no call
+// succeeded on it for a second, or if a new connection is required; otherwise
+// after the first request on it exceeded its deadline.
 func TestSilentConnection(t *testing.T) {
 	is := is.New(t)
 	var ran atomic.Int64
@@ -251,12 +258,12 @@
 	}
 	is.NoErr(send(false))
 	link.Swallow(testlink.Both)
-	is.Equal(verdict.Of(send(false)), verdict.MayHaveRun) // proven a moment ago, silent now
-	is.NoErr(send(false))                                 // the silent one was dropped
+	is.Equal(verdict.Of(send(false)), verdict.MayHaveRun) // a recent success, but bytes are lost now
+	is.NoErr(send(false))                                 // the unresponsive connection was dropped
 	link.Swallow(testlink.Both)
-	is.NoErr(send(true)) // a fresh one works at once
+	is.NoErr(send(true)) // a new connection works at once
 	link.Swallow(testlink.Both)
 	time.Sleep(1100 * time.Millisecond)
-	is.NoErr(send(false)) // not heard from for a second: replaced before use
+	is.NoErr(send(false)) // no success for a second: replaced before use
 	is.Equal(ran.Load(), int64(4))
 }
--- a/internal/adapter/peergrpc/server.go
+++ b/internal/adapter/peergrpc/server.go
@@ -12,7 +12,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// Server answers other entries through a port.PeerHandler.
+// Server passes the calls of other entry VMs to a port.PeerHandler.
 type Server struct {
 	peerv1.UnimplementedPeerServiceServer
 
@@ -20,8 +20,9 @@
 	clock   port.Clock
 }
 
-// ServerOptions returns the bounds that the clients of this package expect of
-// a gRPC server.
+// ServerOptions returns the gRPC options that a server needs to match the clients
+// of this package: the limits on message sizes, the keepalive times, and a policy
+// that permits the clients' pings.
 func ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{
 		grpc.MaxRecvMsgSize(maxMessageBytes),
@@ -34,24 +35,24 @@
 	}
 }
 
-// Register adds the service to s.
+// Register adds the peer service to s.
 func Register(s *grpc.Server, handler port.PeerHandler, clock port.Clock) {
 	peerv1.RegisterPeerServiceServer(s, &Server{handler: handler, clock: clock})
 }
 
-// Heartbeat implements the service.
+// Heartbeat implements peerv1.PeerServiceServer.
 func (s *Server) Heartbeat(_ context.Context, r *peerv1.HeartbeatRequest) (*peerv1.HeartbeatResponse, error) {
 	reply := s.handler.HandleHeartbeat(heartbeatFromProto(r))
 	return heartbeatToReply(reply), nil
 }
 
-// Announce implements the service.
+// Announce implements peerv1.PeerServiceServer.
 func (s *Server) Announce(_ context.Context, r *peerv1.AnnounceRequest) (*peerv1.AnnounceResponse, error) {
 	s.handler.HandleAnnounce(announcementsFromProto(r))
 	return &peerv1.AnnounceResponse{}, nil
 }
 
-// FetchDocument implements the service.
+// FetchDocument implements peerv1.PeerServiceServer.
 func (s *Server) FetchDocument(_ context.Context, r *peerv1.FetchDocumentRequest) (*peerv1.FetchDocumentResponse, error) {
 	config := s.handler.HandleFetchDocument(r.GetHaveVersion())
 	return &peerv1.FetchDocumentResponse{
@@ -61,26 +62,27 @@
 	}, nil
 }
 
-// HandOver implements the service.
+// HandOver implements peerv1.PeerServiceServer.
 func (s *Server) HandOver(_ context.Context, r *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
 	s.handler.HandleHandOver(handOverFromProto(r))
 	return &peerv1.HandOverResponse{}, nil
 }
 
-// Quarantine implements the service.
+// Quarantine implements peerv1.PeerServiceServer.
 func (s *Server) Quarantine(_ context.Context, r *peerv1.QuarantineRequest) (*peerv1.QuarantineResponse, error) {
-	held := s.handler.HandleQuarantine(quarantineFromProto(r.GetRows()))
-	return &peerv1.QuarantineResponse{Rows: quarantineToProto(held)}, nil
+	rows := s.handler.HandleQuarantine(quarantineFromProto(r.GetRows()))
+	return &peerv1.QuarantineResponse{Rows: quarantineToProto(rows)}, nil
 }
 
-// Borrow implements the service.
+// Borrow implements peerv1.PeerServiceServer.
 func (s *Server) Borrow(_ context.Context, r *peerv1.BorrowRequest) (*peerv1.BorrowResponse, error) {
 	grant := s.handler.HandleBorrow(loanFromProto(r))
 	return &peerv1.BorrowResponse{Units: grant.Units, TermMillis: uint64(grant.Term.Milliseconds())}, nil
 }
 
-// Forward implements the service. A failure travels as a message with its
-// verdict; the end mark tells a whole answer from a truncated one.
+// Forward implements peerv1.PeerServiceServer. An error of the handler is sent as
+// a message with its verdict. An end marker follows the body, so that the client
+// can detect a truncated response.
 func (s *Server) Forward(r *peerv1.ForwardRequest, stream grpc.ServerStreamingServer[peerv1.ForwardResponse]) error {
 	response, err := s.handler.HandleForward(stream.Context(), forwardFromProto(r, s.clock.Now()))
 	if err != nil {
@@ -96,14 +98,14 @@
 	return stream.Send(&peerv1.ForwardResponse{Part: &peerv1.ForwardResponse_End{End: true}})
 }
 
-// sendBody sends the held part and the rest in chunks.
+// sendBody sends the buffered body and then the rest, in chunks.
 func sendBody(stream grpc.ServerStreamingServer[peerv1.ForwardResponse], response *port.Response) error {
-	for held := response.Body; len(held) > 0; {
-		n := min(len(held), chunkBytes)
-		if err := sendChunk(stream, held[:n]); err != nil {
+	for buffered := response.Body; len(buffered) > 0; {
+		n := min(len(buffered), chunkBytes)
+		if err := sendChunk(stream, buffered[:n]); err != nil {
 			return err
 		}
-		held = held[n:]
+		buffered = buffered[n:]
 	}
 	if response.Rest == nil {
 		return nil
