--- a/internal/adapter/registergrpc/client.go
+++ b/internal/adapter/registergrpc/client.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// callTimeout bounds a call. A connection on which one call took longer is
-	// taken for silent and replaced.
+	// callTimeout bounds a call. A connection on which a call took longer is
+	// replaced.
 	callTimeout = time.Second
-	// connectTimeout bounds one try to connect.
+	// connectTimeout bounds one attempt to connect.
 	connectTimeout = time.Second
-	// reconnectBase and reconnectMax bound the pause between tries to connect.
+	// reconnectBase and reconnectMax bound the backoff between attempts to connect.
 	reconnectBase = 50 * time.Millisecond
 	reconnectMax  = 250 * time.Millisecond
-	// keepaliveTime and keepaliveTimeout are of the pings on a connection with
-	// a call in flight.
+	// While a call is in flight, a connection without activity for keepaliveTime is
+	// pinged, and closed if the ping isn't acknowledged within keepaliveTimeout.
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 2 * time.Second
 )
 
-// Client sends messages to one member. It is safe for concurrent use.
+// Client sends messages to one member of a group. It is safe for concurrent use.
 type Client struct {
 	address string
 	group   uint64
@@ -45,8 +45,8 @@
 	closed bool
 }
 
-// NewClient returns a client of the member at an address (IP:port). It connects
-// when it is first used.
+// NewClient returns a client of the member at an address (IP:port). The group is
+// sent with the messages of the register. The client connects at its first call.
 func NewClient(address string, group uint64) (*Client, error) {
 	c := &Client{address: address, group: group, options: dialOptions()}
 	conn, err := c.dial()
@@ -75,12 +75,12 @@
 func (c *Client) dial() (*grpc.ClientConn, error) {
 	conn, err := grpc.NewClient("passthrough:///"+c.address, c.options...)
 	if err != nil {
-		return nil, fmt.Errorf("client of %s: %w", c.address, err)
+		return nil, fmt.Errorf("create client of control VM %s: %w", c.address, err)
 	}
 	return conn, nil
 }
 
-// Close closes the connection; later calls fail.
+// Close closes the connection. Calls in flight and later calls fail.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,12 +94,12 @@
 	return c.conn
 }
 
-// replace closes a connection that has gone silent and takes a new one, unless
-// another call has done so.
-func (c *Client) replace(silent *grpc.ClientConn) {
+// replace closes an unresponsive connection and uses a new one, unless another
+// call has already replaced it or the client is closed.
+func (c *Client) replace(stale *grpc.ClientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.conn != silent {
+	if c.closed || c.conn != stale {
 		return
 	}
 	fresh, err := c.dial()
@@ -107,10 +107,12 @@
 		return
 	}
 	c.conn = fresh
-	_ = silent.Close()
+	_ = stale.Close()
 }
 
-// call runs one call with its own deadline.
+// call runs one call under callTimeout. It replaces the connection when that
+// expires before ctx ends. The error wraps ErrOtherGroup when the member belongs
+// to another group.
 func call[M any](ctx context.Context, c *Client, do func(context.Context, *grpc.ClientConn) (M, error)) (M, error) {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -125,10 +127,10 @@
 	if status.Code(err) == codes.FailedPrecondition {
 		err = fmt.Errorf("%w: %w", ErrOtherGroup, err)
 	}
-	return m, fmt.Errorf("call %s: %w", c.address, err)
+	return m, fmt.Errorf("call to control VM %s: %w", c.address, err)
 }
 
-// Prepare sends the message and returns the answer.
+// Prepare sends the message and returns the member's answer.
 func (c *Client) Prepare(ctx context.Context, m register.Prepare) (register.Promise, error) {
 	out, err := call(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (*registerv1.PrepareResponse, error) {
 		return registerv1.NewRegisterServiceClient(conn).Prepare(ctx, &registerv1.PrepareRequest{
@@ -138,7 +140,7 @@
 	return promiseFromProto(out), err
 }
 
-// Accept sends the message and returns the answer.
+// Accept sends the message and returns the member's answer.
 func (c *Client) Accept(ctx context.Context, m register.Accept) (register.Accepted, error) {
 	out, err := call(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (*registerv1.AcceptResponse, error) {
 		return registerv1.NewRegisterServiceClient(conn).Accept(ctx, &registerv1.AcceptRequest{
@@ -158,7 +160,7 @@
 	return err
 }
 
-// Query sends the message and returns the answer.
+// Query sends the message and returns the member's answer.
 func (c *Client) Query(ctx context.Context, m register.Query) (register.Report, error) {
 	out, err := call(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (*registerv1.QueryResponse, error) {
 		return registerv1.NewRegisterServiceClient(conn).Query(ctx, &registerv1.QueryRequest{
@@ -170,7 +172,7 @@
 	return report, err
 }
 
-// Probe sends the message and returns the answer.
+// Probe sends the message and returns the member's answer.
 func (c *Client) Probe(ctx context.Context, m register.Probe) (register.ProbeReply, error) {
 	out, err := call(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (*registerv1.ProbeResponse, error) {
 		return registerv1.NewRegisterServiceClient(conn).Probe(ctx, &registerv1.ProbeRequest{
@@ -180,7 +182,7 @@
 	return probeReplyFromProto(out), err
 }
 
-// Fence sends the message and returns the answer.
+// Fence sends the message and returns the member's answer.
 func (c *Client) Fence(ctx context.Context, m register.Fence) (register.Fenced, error) {
 	out, err := call(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (*registerv1.FenceResponse, error) {
 		return registerv1.NewRegisterServiceClient(conn).Fence(ctx, &registerv1.FenceRequest{
@@ -190,7 +192,7 @@
 	return fencedFromProto(out), err
 }
 
-// Reports returns what the member heard from entries.
+// Reports returns the reports of entry VMs that the member has received.
 func (c *Client) Reports(ctx context.Context) ([]EntryReport, error) {
 	out, err := call(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (*registerv1.ReportsResponse, error) {
 		return registerv1.NewRegisterServiceClient(conn).Reports(ctx, &registerv1.ReportsRequest{})
@@ -202,7 +204,8 @@
 	return reports, err
 }
 
-// Lift tells the member that an operator lifted a quarantine.
+// Lift notifies the member that an operator lifted the quarantine of a
+// fingerprint.
 func (c *Client) Lift(ctx context.Context, operator, fingerprint string) error {
 	_, err := call(ctx, c, func(ctx context.Context, conn *grpc.ClientConn) (*registerv1.LiftResponse, error) {
 		return registerv1.NewRegisterServiceClient(conn).Lift(ctx, &registerv1.LiftRequest{
--- a/internal/adapter/registergrpc/client_test.go
+++ b/internal/adapter/registergrpc/client_test.go
@@ -15,7 +15,7 @@
 	"sassafrasreach/internal/core/register"
 )
 
-// fakeMember answers queries and nothing else.
+// fakeMember answers queries only; other calls panic.
 type fakeMember struct {
 	Member
 	err error
@@ -25,28 +25,28 @@
 	return register.Report{Round: q.Round, Standing: register.Standing{Member: 1}}, m.err
 }
 
-// silencer passes connections on until it is told to drop what arrives on those
-// that are open; new ones work.
-type silencer struct {
-	mu    sync.Mutex
-	muted map[net.Conn]bool
+// blackholeProxy forwards connections to a target. After drop, it discards the
+// bytes of the connections that were open then; newer ones work.
+type blackholeProxy struct {
+	mu      sync.Mutex
+	dropped map[net.Conn]bool
 }
 
-func (s *silencer) mute() {
+func (s *blackholeProxy) drop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.muted {
-		s.muted[c] = true
+	for c := range s.dropped {
+		s.dropped[c] = true
 	}
 }
 
-func (s *silencer) isMuted(c net.Conn) bool {
+func (s *blackholeProxy) isDropped(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.muted[c]
+	return s.dropped[c]
 }
 
-func (s *silencer) serve(l net.Listener, target string) {
+func (s *blackholeProxy) serve(l net.Listener, target string) {
 	for {
 		in, err := l.Accept()
 		if err != nil {
@@ -58,14 +58,14 @@
 			return
 		}
 		s.mu.Lock()
-		s.muted[in] = false
+		s.dropped[in] = false
 		s.mu.Unlock()
-		go s.pass(in, in, out)
-		go s.pass(in, out, in)
+		go s.forward(in, in, out)
+		go s.forward(in, out, in)
 	}
 }
 
-func (s *silencer) pass(key, from, to net.Conn) {
+func (s *blackholeProxy) forward(key, from, to net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -73,7 +73,7 @@
 			_ = to.Close()
 			return
 		}
-		if s.isMuted(key) {
+		if s.isDropped(key) {
 			continue
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -99,28 +99,33 @@
 	return c
 }
 
+// TestSilentConnectionIsReplaced guards against calls that keep failing because
+// an established connection loses all bytes: after one call has timed out, the
+// next one must use a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
-	s := &silencer{muted: make(map[net.Conn]bool)}
+	s := &blackholeProxy{dropped: make(map[net.Conn]bool)}
 	go s.serve(l, serve(t, fakeMember{}))
 	c := client(t, l.Addr().String(), testGroup)
 
 	report, err := c.Query(t.Context(), register.Query{Round: 4})
 	is.NoErr(err)
 	is.Equal(report.Round, uint64(4))
-	s.mute()
+	s.drop()
 	began := time.Now()
 	_, err = c.Query(t.Context(), register.Query{Round: 5})
 	is.True(err != nil) // the answer is lost
 	is.True(time.Since(began) < 2*callTimeout)
 	_, err = c.Query(t.Context(), register.Query{Round: 6})
-	is.NoErr(err) // over a new connection
+	is.NoErr(err) // on a new connection
 }
 
-func TestAnswersThatAreErrors(t *testing.T) {
+// TestQueryErrors guards against a failure that is taken for an answer, and
+// against any error but that of another group being reported as ErrOtherGroup.
+func TestQueryErrors(t *testing.T) {
 	failing := serve(t, fakeMember{err: io.ErrUnexpectedEOF})
 	working := serve(t, fakeMember{})
 	cases := []struct {
@@ -131,7 +136,7 @@
 	}{
 		{"the member's disk failed", failing, testGroup, false},
 		{"another group of members", working, testGroup + 1, true},
-		{"nobody listens", "127.0.0.1:1", testGroup, false},
+		{"connection refused", "127.0.0.1:1", testGroup, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -141,7 +146,7 @@
 			is.Equal(errors.Is(err, ErrOtherGroup), c.otherGroup)
 		})
 	}
-	t.Run("the caller gives up", func(t *testing.T) {
+	t.Run("canceled by the caller", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, err := client(t, working, testGroup).Query(ctx, register.Query{})
--- a/internal/adapter/registergrpc/codec_test.go
+++ b/internal/adapter/registergrpc/codec_test.go
@@ -18,8 +18,9 @@
 
 const testGroup = 77
 
-// filled returns a value after a number of changes of a document of some size.
-func filled(t *testing.T, changes, documentBytes int) *register.Value {
+// newValue returns the value that results from a number of changes, each with a
+// document of the given size.
+func newValue(t *testing.T, changes, documentBytes int) *register.Value {
 	var v *register.Value
 	for i := range changes {
 		document := []byte(strings.Repeat("x", documentBytes))
@@ -47,30 +48,30 @@
 	}
 }
 
-// TestMessagesSurviveTheWire compares every message with what the other side
-// decodes; a field that the codec forgets is found by the filled struct.
-func TestMessagesSurviveTheWire(t *testing.T) {
-	holding := register.Holding{Accepted: ballot(5), Value: filled(t, 3, 10), Committed: true}
+// TestMessagesRoundTrip guards against fields that the conversion to protobuf
+// drops. The messages have their fields set, so that a lost one shows.
+func TestMessagesRoundTrip(t *testing.T) {
+	holding := register.Holding{Accepted: ballot(5), Value: newValue(t, 3, 10), Committed: true}
 	founders := [register.MaxMembers]uint64{1, 2, 3, 4, 5}
 	promise := register.Promise{Standing: standing(), Holding: holding, Ballot: ballot(6), OK: true}
 	accepted := register.Accepted{Standing: standing(), Ballot: ballot(6), OK: true}
 	report := register.Report{Standing: standing(), Holding: holding}
-	probed := register.ProbeReply{
+	probeReply := register.ProbeReply{
 		Standing: standing(), Echo: 1, Round: 2, Nonce: 3, Empty: true, Founders: founders,
 	}
 	fenced := register.Fenced{
 		Standing: standing(), Holding: holding, Ballot: ballot(6), OK: true, Founders: founders,
 	}
 	is := is.New(t)
-	is.Equal(promiseFromProto(wire(t, promiseToProto(promise))), promise)
-	is.Equal(acceptedFromProto(wire(t, acceptedToProto(accepted))), accepted)
-	is.Equal(reportFromProto(wire(t, reportToProto(report))), report)
-	is.Equal(probeReplyFromProto(wire(t, probeReplyToProto(probed))), probed)
-	is.Equal(fencedFromProto(wire(t, fencedToProto(fenced))), fenced)
-	is.NoErr(audit.Verify(reportFromProto(wire(t, reportToProto(report))).Value.Audit))
+	is.Equal(promiseFromProto(encodeAndDecode(t, promiseToProto(promise))), promise)
+	is.Equal(acceptedFromProto(encodeAndDecode(t, acceptedToProto(accepted))), accepted)
+	is.Equal(reportFromProto(encodeAndDecode(t, reportToProto(report))), report)
+	is.Equal(probeReplyFromProto(encodeAndDecode(t, probeReplyToProto(probeReply))), probeReply)
+	is.Equal(fencedFromProto(encodeAndDecode(t, fencedToProto(fenced))), fenced)
+	is.NoErr(audit.Verify(reportFromProto(encodeAndDecode(t, reportToProto(report))).Value.Audit))
 }
 
-func wire[M proto.Message](t *testing.T, m M) M {
+func encodeAndDecode[M proto.Message](t *testing.T, m M) M {
 	encoded, err := proto.Marshal(m)
 	is.New(t).NoErr(err)
 	out := m.ProtoReflect().New().Interface().(M)
@@ -78,8 +79,10 @@
 	return out
 }
 
-func TestStateSurvivesTheDisk(t *testing.T) {
-	older, newer := filled(t, 2, 10), filled(t, 3, 10)
+// TestStateRoundTrip guards against a stored state that is restored differently,
+// or that a member of another group accepts.
+func TestStateRoundTrip(t *testing.T) {
+	older, newer := newValue(t, 2, 10), newValue(t, 3, 10)
 	base := register.State{
 		Voting: true, Nonce: 7, Founders: [register.MaxMembers]uint64{1, 2, 3}, Generation: ballot(2),
 		Fences: register.Ballots{2: ballot(2)}, Promised: ballot(9), Accepted: ballot(8), Value: newer,
@@ -104,7 +107,7 @@
 		before.Promised, before.Committed = ballot(7), ballot(6)
 		got, err := roundTrip(t, before, inFlight, testGroup)
 		is.New(t).NoErr(err)
-		is.New(t).Equal(got.Promised, ballot(8)) // an accept is a promise too
+		is.New(t).Equal(got.Promised, ballot(8)) // an accept implies a promise of its ballot
 		is.New(t).Equal(got.Committed, ballot(6))
 	})
 }
@@ -117,10 +120,11 @@
 	return UnmarshalState(s, v, group)
 }
 
-// TestSizeOfAValue logs what a change costs on the wire and on a disk.
-func TestSizeOfAValue(t *testing.T) {
+// TestValueSize guards against a value that outgrows a message, and logs the
+// sizes of values with up to 1100 changes.
+func TestValueSize(t *testing.T) {
 	for _, c := range []struct{ changes, documentBytes int }{{1, 0}, {100, 0}, {256, 0}, {1000, 0}, {1100, 0}, {1100, 100_000}} {
-		v := filled(t, c.changes, c.documentBytes)
+		v := newValue(t, c.changes, c.documentBytes)
 		size := proto.Size(valueToProto(v))
 		t.Logf("%d changes, document of %d bytes: value of %d bytes", c.changes, c.documentBytes, size)
 		is.New(t).True(size < MaxMessageBytes)
--- a/internal/adapter/registergrpc/message.go
+++ b/internal/adapter/registergrpc/message.go
@@ -8,20 +8,21 @@
 	"sassafrasreach/internal/port"
 )
 
-// EntryReport is what an entry said of itself.
+// EntryReport is the status that an entry VM last reported of itself.
 type EntryReport struct {
 	port.EntryStatus
 	// Incarnation changes at each start of the entry.
 	Incarnation uint64
 }
 
-// Fetched is the answer to an entry that pulls the document.
+// Fetched is the answer to an entry VM that fetches the document.
 type Fetched struct {
-	// Config is the newest known; its document is empty when the entry has it.
+	// Config is the newest known configuration; its document is empty when the
+	// entry VM already has it.
 	Config port.Config
-	// Quorum says that the version has just been read through a quorum.
+	// Quorum reports whether the version has just been read from a quorum.
 	Quorum bool
-	// Lifted are the fingerprints that operators lifted from quarantine.
+	// Lifted are the fingerprints whose quarantine operators lifted.
 	Lifted []string
 }
 
--- a/internal/adapter/registergrpc/server.go
+++ b/internal/adapter/registergrpc/server.go
@@ -11,11 +11,12 @@
 	"sassafrasreach/internal/core/register"
 )
 
-// MaxMessageBytes bounds a message: the value with its document, decisions and
-// audit trail.
+// MaxMessageBytes bounds a message. The largest ones carry a whole value: the
+// document, the decisions and the audit trail.
 const MaxMessageBytes = 16 << 20
 
-// ServerOptions returns the options that a server of these services needs.
+// ServerOptions returns the gRPC options that a server of these services needs:
+// the limits on message sizes.
 func ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{
 		grpc.MaxRecvMsgSize(MaxMessageBytes),
@@ -23,8 +24,8 @@
 	}
 }
 
-// Member is the register's member behind a server. An error means that the
-// member gives no answer, because its disk failed.
+// Member handles the calls of a server. An error means that the member can't
+// answer because its disk failed.
 type Member interface {
 	Prepare(register.Prepare) (register.Promise, error)
 	Accept(register.Accept) (register.Accepted, error)
@@ -32,15 +33,15 @@
 	Query(register.Query) (register.Report, error)
 	Probe(register.Probe) (register.ProbeReply, error)
 	Fence(register.Fence) (register.Fenced, error)
-	// Reports returns what was heard from entries.
+	// Reports returns the reports received from entry VMs.
 	Reports() []EntryReport
-	// Lift takes a fingerprint out of quarantine.
+	// Lift ends the quarantine of a fingerprint.
 	Lift(operator, fingerprint string)
-	// Fetch takes an entry's reports and returns the newest known document.
+	// Fetch stores the reports of entry VMs and returns the newest known document.
 	Fetch(haveVersion uint64, reports []EntryReport) (Fetched, error)
 }
 
-// Server serves a member of one group.
+// Server serves RegisterService and ConfigService for a member of one group.
 type Server struct {
 	registerv1.UnimplementedRegisterServiceServer
 	registerv1.UnimplementedConfigServiceServer
@@ -48,38 +49,40 @@
 	group  uint64
 }
 
-// NewServer returns a server that answers only messages of the given group.
+// NewServer returns a server for a member. It rejects messages of the register
+// that carry another group.
 func NewServer(member Member, group uint64) *Server { return &Server{member: member, group: group} }
 
-// Register adds both services to s.
+// Register adds both services to a gRPC server.
 func (s *Server) Register(to *grpc.Server) {
 	registerv1.RegisterRegisterServiceServer(to, s)
 	registerv1.RegisterConfigServiceServer(to, s)
 }
 
-func (s *Server) check(group uint64) error {
+func (s *Server) checkGroup(group uint64) error {
 	if group != s.group {
 		return status.Error(codes.FailedPrecondition, ErrOtherGroup.Error())
 	}
 	return nil
 }
 
-// answer runs handle for a message of the group and encodes its answer.
-func answer[A, M any](s *Server, group uint64, handle func() (A, error), encode func(A) M) (M, error) {
-	var none M
-	if err := s.check(group); err != nil {
-		return none, err
+// respond runs handle if the message belongs to the server's group, and encodes
+// the result.
+func respond[A, M any](s *Server, group uint64, handle func() (A, error), encode func(A) M) (M, error) {
+	var zero M
+	if err := s.checkGroup(group); err != nil {
+		return zero, err
 	}
 	a, err := handle()
 	if err != nil {
-		return none, status.Error(codes.Unavailable, err.Error())
+		return zero, status.Error(codes.Unavailable, err.Error())
 	}
 	return encode(a), nil
 }
 
 // Prepare implements registerv1.RegisterServiceServer.
 func (s *Server) Prepare(_ context.Context, m *registerv1.PrepareRequest) (*registerv1.PrepareResponse, error) {
-	return answer(s, m.GetGroup(), func() (register.Promise, error) {
+	return respond(s, m.GetGroup(), func() (register.Promise, error) {
 		return s.member.Prepare(register.Prepare{
 			Ballot: ballotFromProto(m.GetBallot()), Have: ballotFromProto(m.GetHave()),
 		})
@@ -88,7 +91,7 @@
 
 // Accept implements registerv1.RegisterServiceServer.
 func (s *Server) Accept(_ context.Context, m *registerv1.AcceptRequest) (*registerv1.AcceptResponse, error) {
-	return answer(s, m.GetGroup(), func() (register.Accepted, error) {
+	return respond(s, m.GetGroup(), func() (register.Accepted, error) {
 		return s.member.Accept(register.Accept{
 			Ballot: ballotFromProto(m.GetBallot()), Value: valueFromProto(m.GetValue()),
 		})
@@ -97,21 +100,21 @@
 
 // Learn implements registerv1.RegisterServiceServer.
 func (s *Server) Learn(_ context.Context, m *registerv1.LearnRequest) (*registerv1.LearnResponse, error) {
-	return answer(s, m.GetGroup(), func() (struct{}, error) {
+	return respond(s, m.GetGroup(), func() (struct{}, error) {
 		return struct{}{}, s.member.Learn(register.Learn{Ballot: ballotFromProto(m.GetBallot())})
 	}, func(struct{}) *registerv1.LearnResponse { return &registerv1.LearnResponse{} })
 }
 
 // Query implements registerv1.RegisterServiceServer.
 func (s *Server) Query(_ context.Context, m *registerv1.QueryRequest) (*registerv1.QueryResponse, error) {
-	return answer(s, m.GetGroup(), func() (register.Report, error) {
+	return respond(s, m.GetGroup(), func() (register.Report, error) {
 		return s.member.Query(register.Query{Have: ballotFromProto(m.GetHave())})
 	}, reportToProto)
 }
 
 // Probe implements registerv1.RegisterServiceServer.
 func (s *Server) Probe(_ context.Context, m *registerv1.ProbeRequest) (*registerv1.ProbeResponse, error) {
-	return answer(s, m.GetGroup(), func() (register.ProbeReply, error) {
+	return respond(s, m.GetGroup(), func() (register.ProbeReply, error) {
 		return s.member.Probe(register.Probe{Nonce: m.GetNonce(), Round: m.GetRound()})
 	}, probeReplyToProto)
 }
@@ -119,9 +122,9 @@
 // Fence implements registerv1.RegisterServiceServer.
 func (s *Server) Fence(_ context.Context, m *registerv1.FenceRequest) (*registerv1.FenceResponse, error) {
 	if m.GetMember() >= register.MaxMembers {
-		return nil, status.Error(codes.InvalidArgument, "no such member")
+		return nil, status.Error(codes.InvalidArgument, "member number is out of range")
 	}
-	return answer(s, m.GetGroup(), func() (register.Fenced, error) {
+	return respond(s, m.GetGroup(), func() (register.Fenced, error) {
 		return s.member.Fence(register.Fence{
 			Ballot: ballotFromProto(m.GetBallot()), Member: register.MemberID(m.GetMember()),
 		})
--- a/internal/adapter/registergrpc/state.go
+++ b/internal/adapter/registergrpc/state.go
@@ -10,10 +10,11 @@
 	"sassafrasreach/internal/core/register"
 )
 
-// ErrOtherGroup means that a state or a message belongs to other members.
-var ErrOtherGroup = errors.New("state or message of another group of members")
+// ErrOtherGroup means that a stored state or a message belongs to another group
+// of members.
+var ErrOtherGroup = errors.New("state or message belongs to another group of members")
 
-// MarshalState encodes the part of a state that changes with each promise.
+// MarshalState encodes the part of a state that is saved with each promise.
 func MarshalState(s register.State, group uint64) ([]byte, error) {
 	return proto.Marshal(&registerv1.DiskState{
 		Group: group, Voting: s.Voting, Nonce: s.Nonce, Founders: s.Founders[:],
@@ -22,7 +23,8 @@
 	})
 }
 
-// MarshalValue encodes the part of a state that changes with each accept.
+// MarshalValue encodes the part of a state that is saved with each accept. The
+// committed value is left out when it is the accepted one.
 func MarshalValue(s register.State) ([]byte, error) {
 	m := &registerv1.DiskValue{
 		Accepted: ballotToProto(s.Accepted), Value: valueToProto(s.Value),
@@ -34,8 +36,9 @@
 	return proto.Marshal(m)
 }
 
-// UnmarshalState restores a state from its two parts. The error wraps
-// ErrOtherGroup when the state belongs to another group.
+// UnmarshalState restores a state from the encodings of MarshalState and
+// MarshalValue. The error wraps ErrOtherGroup when the state belongs to another
+// group.
 func UnmarshalState(state, value []byte, group uint64) (register.State, error) {
 	var s registerv1.DiskState
 	if err := proto.Unmarshal(state, &s); err != nil {
@@ -51,8 +54,9 @@
 	return assemble(&s, &v), nil
 }
 
-// assemble joins the two parts. An accept is saved with the value alone, and a
-// commit of the accepted value with the state alone.
+// assemble joins the two parts, either of which may be newer than the other: an
+// accept saves only the value part, and a commit of the accepted value saves only
+// the state part.
 func assemble(s *registerv1.DiskState, v *registerv1.DiskValue) register.State {
 	out := register.State{
 		Voting: s.GetVoting(), Nonce: s.GetNonce(), Damaged: s.GetDamaged(),
--- a/internal/adapter/registergrpc/state_test.go
+++ b/internal/adapter/registergrpc/state_test.go
@@ -15,9 +15,9 @@
 
 const storedGroup = 0x1122334455667788
 
-// storedRegister is the state in testdata/state and testdata/value, with no
-// field at zero. The accepted value isn't committed yet, so that both values
-// are stored.
+// storedRegister returns the state in testdata/state and testdata/value. Every
+// field is set. The accepted value isn't committed yet, so that both values are
+// stored.
 func storedRegister() register.State {
 	ballot := func(n uint64) register.Ballot {
 		return register.Ballot{Round: 100 + n, Member: register.MemberID(n), Incarnation: 200 + n}
@@ -57,9 +57,10 @@
 	}
 }
 
-// TestStoredRegisterKeepsItsForm reads a state that an earlier release stored
-// and encodes it again.
-func TestStoredRegisterKeepsItsForm(t *testing.T) {
+// TestStoredRegisterKeepsItsFormat guards against a change of the stored format:
+// a state that an earlier release stored must decode to the same fields, and
+// encode to the same bytes again.
+func TestStoredRegisterKeepsItsFormat(t *testing.T) {
 	is := is.New(t)
 	stored, err := os.ReadFile("testdata/state")
 	is.NoErr(err)
