--- a/internal/adapter/fleetgrpc/client.go
+++ b/internal/adapter/fleetgrpc/client.go
@@ -21,17 +21,20 @@
 )
 
 const (
-	// maxMessageBytes bounds one message either way; a state is far below it.
+	// maxMessageBytes bounds one message in either direction. States, which make the
+	// largest messages, are far smaller.
 	maxMessageBytes = 64 << 20
-	// connectTimeout bounds one try to connect.
+	// connectTimeout bounds one attempt to connect.
 	connectTimeout = time.Second
-	// reconnectBase and reconnectMax bound the pause between tries to connect.
+	// reconnectBase and reconnectMax bound the backoff between attempts to connect.
 	reconnectBase = 50 * time.Millisecond
 	reconnectMax  = 300 * time.Millisecond
-	// keepaliveTime and keepaliveTimeout end connections that went silent.
+	// While a call is in flight, a connection without activity for keepaliveTime is
+	// pinged, and closed if the ping isn't acknowledged within keepaliveTimeout.
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 2 * time.Second
-	// bufferBytes is the size of a connection's buffers: messages are small.
+	// bufferBytes is the size of a connection's read buffer and of its write buffer.
+	// Most messages are small.
 	bufferBytes = 4 << 10
 )
 
@@ -51,8 +54,9 @@
 	_ port.ControllerLink = (*Client)(nil)
 )
 
-// NewClient returns a client of the controller at an address (IP:port) that
-// connects from a local address when it is first used.
+// NewClient returns a client of the controller at an address (IP:port). It
+// connects at its first call, from the IP address local; if that is nil, the
+// operating system chooses the address.
 func NewClient(address string, local net.IP, clock port.Clock) (*Client, error) {
 	c := &Client{address: address, clock: clock, options: dialOptions(local)}
 	conn, err := c.dial()
@@ -90,7 +94,7 @@
 func (c *Client) dial() (*grpc.ClientConn, error) {
 	conn, err := grpc.NewClient("passthrough:///"+c.address, c.options...)
 	if err != nil {
-		return nil, fmt.Errorf("client of %s: %w", c.address, err)
+		return nil, fmt.Errorf("create client of controller %s: %w", c.address, err)
 	}
 	return conn, nil
 }
@@ -108,31 +112,32 @@
 	return c.conn
 }
 
-// replace closes a connection that has gone silent and takes a new one, unless
-// another call has done so.
-func (c *Client) replace(silent *grpc.ClientConn) {
+// replace closes an unresponsive connection and uses a new one, unless another
+// call has already replaced it.
+func (c *Client) replace(stale *grpc.ClientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conn != silent {
+	if c.conn != stale {
 		return
 	}
 	fresh, err := c.dial()
 	if err != nil {
-		return // the address was good before; the silent connection stays until the next call
+		return // unlikely, as the address worked before; the next call that times out tries again
 	}
 	c.conn = fresh
-	_ = silent.Close()
+	_ = stale.Close()
 }
 
-// call runs one call. A connection on which a call ran into its deadline is
-// taken for silent and replaced, unless the call was meant to wait.
-func call[M any](ctx context.Context, c *Client, waits bool, do func(context.Context, fleetv1.FleetServiceClient) (M, error)) (M, error) {
+// call runs one call. It replaces the connection if the call exceeded its
+// deadline, unless mayWait is set: the controller may then hold the call until the
+// deadline, so that exceeding it says nothing about the connection.
+func call[M any](ctx context.Context, c *Client, mayWait bool, do func(context.Context, fleetv1.FleetServiceClient) (M, error)) (M, error) {
 	conn := c.current()
 	m, err := do(ctx, fleetv1.NewFleetServiceClient(conn))
 	if err == nil {
 		return m, nil
 	}
-	if !waits && errors.Is(ctx.Err(), context.DeadlineExceeded) {
+	if !mayWait && errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		c.replace(conn)
 	}
 	return m, fromStatus(err, c.address)
@@ -165,9 +170,9 @@
 // Exchange implements port.ControllerPeer.
 func (c *Client) Exchange(ctx context.Context, n port.News) (port.NewsReply, error) {
 	out, err := call(ctx, c, false, func(ctx context.Context, s fleetv1.FleetServiceClient) (*fleetv1.ExchangeResponse, error) {
-		return s.Exchange(ctx, codec{c.clock.Now()}.newsToProto(n))
+		return s.Exchange(ctx, codec{c.clock.Now()}.exchangeToProto(n))
 	})
-	return codec{c.clock.Now()}.replyFromProto(out), err
+	return codec{c.clock.Now()}.exchangeReplyFromProto(out), err
 }
 
 // Order implements port.ControllerPeer.
@@ -198,15 +203,15 @@
 // Acquire implements port.ControllerLink.
 func (c *Client) Acquire(ctx context.Context, a port.AskSlot) (dispatch.Decision, error) {
 	out, err := call(ctx, c, true, func(ctx context.Context, s fleetv1.FleetServiceClient) (*fleetv1.AcquireResponse, error) {
-		return s.Acquire(ctx, codec{c.clock.Now()}.askToProto(a))
+		return s.Acquire(ctx, codec{c.clock.Now()}.slotRequestToProto(a))
 	})
-	return codec{c.clock.Now()}.answerFromProto(out), err
+	return codec{c.clock.Now()}.decisionFromProto(out), err
 }
 
 // Release implements port.ControllerLink.
 func (c *Client) Release(ctx context.Context, r []port.SlotRelease) error {
 	_, err := call(ctx, c, false, func(ctx context.Context, s fleetv1.FleetServiceClient) (*fleetv1.ReleaseResponse, error) {
-		return s.Release(ctx, &fleetv1.ReleaseRequest{Released: each(r, releaseToProto)})
+		return s.Release(ctx, &fleetv1.ReleaseRequest{Released: convertAll(r, releaseToProto)})
 	})
 	return err
 }
--- a/internal/adapter/fleetgrpc/convert.go
+++ b/internal/adapter/fleetgrpc/convert.go
@@ -10,7 +10,8 @@
 	"sassafrasreach/internal/port"
 )
 
-func each[A, B any](in []A, convert func(A) B) []B {
+// convertAll converts convertAll element. It returns nil for an empty slice.
+func convertAll[A, B any](in []A, convert func(A) B) []B {
 	if len(in) == 0 {
 		return nil
 	}
@@ -21,11 +22,11 @@
 	return out
 }
 
-// codec converts messages at one moment.
+// codec converts points in time to ages relative to now, and back.
 type codec struct{ now time.Time }
 
 func (c codec) age(t time.Time) int64            { return c.now.Sub(t).Milliseconds() }
-func (c codec) moment(ageMillis int64) time.Time { return c.now.Add(-millis(ageMillis)) }
+func (c codec) timeAt(ageMillis int64) time.Time { return c.now.Add(-millis(ageMillis)) }
 
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
@@ -46,25 +47,25 @@
 }
 
 func epochToProto(e quorum.Epoch) *fleetv1.Epoch {
-	return &fleetv1.Epoch{Number: e.Number, Voters: each(e.Voters, voterToProto)}
+	return &fleetv1.Epoch{Number: e.Number, Voters: convertAll(e.Voters, voterToProto)}
 }
 
 func epochFromProto(m *fleetv1.Epoch) quorum.Epoch {
-	return quorum.Epoch{Number: m.GetNumber(), Voters: each(m.GetVoters(), voterFromProto)}
+	return quorum.Epoch{Number: m.GetNumber(), Voters: convertAll(m.GetVoters(), voterFromProto)}
 }
 
 func valueToProto(v *quorum.Value) *fleetv1.Value {
 	if v == nil {
 		return nil
 	}
-	return &fleetv1.Value{Sequence: v.Sequence, State: v.State, Next: each(v.Next, voterToProto)}
+	return &fleetv1.Value{Sequence: v.Sequence, State: v.State, Next: convertAll(v.Next, voterToProto)}
 }
 
 func valueFromProto(m *fleetv1.Value) *quorum.Value {
 	if m == nil {
 		return nil
 	}
-	return &quorum.Value{Sequence: m.GetSequence(), State: m.GetState(), Next: each(m.GetNext(), voterFromProto)}
+	return &quorum.Value{Sequence: m.GetSequence(), State: m.GetState(), Next: convertAll(m.GetNext(), voterFromProto)}
 }
 
 func acceptedToProto(a quorum.Accepted) *fleetv1.Accepted {
@@ -101,7 +102,7 @@
 func (c codec) controllerFromProto(m *fleetv1.Controller) port.Controller {
 	return port.Controller{
 		Address: m.GetAddress(), Disk: m.GetDisk(), Zone: m.GetZone(), Region: m.GetRegion(),
-		Incarnation: m.GetIncarnation(), Heard: c.moment(m.GetAgeMs()),
+		Incarnation: m.GetIncarnation(), Heard: c.timeAt(m.GetAgeMs()),
 	}
 }
 
@@ -115,7 +116,7 @@
 func (c codec) gatewayFromProto(m *fleetv1.Gateway) port.Gateway {
 	return port.Gateway{
 		Address: m.GetAddress(), Zone: m.GetZone(), Region: m.GetRegion(), Incarnation: m.GetIncarnation(),
-		Ready: m.GetReady(), Heard: c.moment(m.GetAgeMs()),
+		Ready: m.GetReady(), Heard: c.timeAt(m.GetAgeMs()),
 	}
 }
 
@@ -131,10 +132,10 @@
 	e := registry.Endpoint{
 		ID: m.GetId(), Born: m.GetBornMs(), Sequence: m.GetSequence(), Address: m.GetAddress(),
 		Service: m.GetService(), Zone: m.GetZone(), Slots: int(m.GetSlots()),
-		Leaving: m.GetLeaving(), Gone: m.GetGone(), Heard: c.moment(m.GetAgeMs()),
+		Leaving: m.GetLeaving(), Gone: m.GetGone(), Heard: c.timeAt(m.GetAgeMs()),
 	}
 	if m.GetColdLeftMs() > 0 {
-		e.ColdUntil = c.moment(-m.GetColdLeftMs())
+		e.ColdUntil = c.timeAt(-m.GetColdLeftMs())
 	}
 	return e
 }
@@ -147,19 +148,20 @@
 	return port.Lease{Region: m.GetRegion(), Holder: m.GetHolder(), Left: millis(m.GetLeftMs()), Firm: m.GetFirm()}
 }
 
-// hundredths are the unit of a load's need.
-const hundredths = 100
+// hundredthsPerSlot converts a load's need, in slots, to the unit in which it is
+// sent.
+const hundredthsPerSlot = 100
 
 func loadToProto(l dispatch.Load) *fleetv1.Load {
 	return &fleetv1.Load{
-		Region: l.Region, Service: l.Service, NeedHundredths: int64(l.Need * hundredths), Slots: int32(l.Slots),
+		Region: l.Region, Service: l.Service, NeedHundredths: int64(l.Need * hundredthsPerSlot), Slots: int32(l.Slots),
 		Gateways: int32(l.Gateways),
 	}
 }
 
 func loadFromProto(m *fleetv1.Load) dispatch.Load {
 	return dispatch.Load{
-		Region: m.GetRegion(), Service: m.GetService(), Need: float64(m.GetNeedHundredths()) / hundredths,
+		Region: m.GetRegion(), Service: m.GetService(), Need: float64(m.GetNeedHundredths()) / hundredthsPerSlot,
 		Slots: int(m.GetSlots()), Gateways: int(m.GetGateways()),
 	}
 }
@@ -172,38 +174,38 @@
 	return dispatch.Loan{Lender: m.GetLender(), Borrower: m.GetBorrower(), Endpoints: m.GetEndpoints()}
 }
 
-func (c codec) newsToProto(n port.News) *fleetv1.ExchangeRequest {
+func (c codec) exchangeToProto(n port.News) *fleetv1.ExchangeRequest {
 	return &fleetv1.ExchangeRequest{
-		From: c.controllerToProto(n.From), Controllers: each(n.Controllers, c.controllerToProto),
-		Gateways: each(n.Gateways, c.gatewayToProto), Endpoints: each(n.Endpoints, c.endpointToProto),
+		From: c.controllerToProto(n.From), Controllers: convertAll(n.Controllers, c.controllerToProto),
+		Gateways: convertAll(n.Gateways, c.gatewayToProto), Endpoints: convertAll(n.Endpoints, c.endpointToProto),
 		Asks: n.Asks, Drops: n.Drops, Whole: n.Whole,
-		Loads: each(n.Loads, loadToProto), Loans: each(n.Loans, loanToProto),
+		Loads: convertAll(n.Loads, loadToProto), Loans: convertAll(n.Loans, loanToProto),
 	}
 }
 
-func (c codec) newsFromProto(m *fleetv1.ExchangeRequest) port.News {
+func (c codec) exchangeFromProto(m *fleetv1.ExchangeRequest) port.News {
 	return port.News{
-		From: c.controllerFromProto(m.GetFrom()), Controllers: each(m.GetControllers(), c.controllerFromProto),
-		Gateways: each(m.GetGateways(), c.gatewayFromProto), Endpoints: each(m.GetEndpoints(), c.endpointFromProto),
+		From: c.controllerFromProto(m.GetFrom()), Controllers: convertAll(m.GetControllers(), c.controllerFromProto),
+		Gateways: convertAll(m.GetGateways(), c.gatewayFromProto), Endpoints: convertAll(m.GetEndpoints(), c.endpointFromProto),
 		Asks: m.GetAsks(), Drops: m.GetDrops(), Whole: m.GetWhole(),
-		Loads: each(m.GetLoads(), loadFromProto), Loans: each(m.GetLoans(), loanFromProto),
+		Loads: convertAll(m.GetLoads(), loadFromProto), Loans: convertAll(m.GetLoans(), loanFromProto),
 	}
 }
 
-func (c codec) replyToProto(r port.NewsReply) *fleetv1.ExchangeResponse {
+func (c codec) exchangeReplyToProto(r port.NewsReply) *fleetv1.ExchangeResponse {
 	return &fleetv1.ExchangeResponse{
 		From: c.controllerToProto(r.From), Epoch: epochToProto(r.Epoch), Accepted: ballotToProto(r.Accepted),
-		Grants: r.Grants, Known: each(r.Known, leaseToProto),
-		Controllers: each(r.Controllers, c.controllerToProto), Endpoints: each(r.Endpoints, c.endpointToProto),
+		Grants: r.Grants, Known: convertAll(r.Known, leaseToProto),
+		Controllers: convertAll(r.Controllers, c.controllerToProto), Endpoints: convertAll(r.Endpoints, c.endpointToProto),
 	}
 }
 
-func (c codec) replyFromProto(m *fleetv1.ExchangeResponse) port.NewsReply {
+func (c codec) exchangeReplyFromProto(m *fleetv1.ExchangeResponse) port.NewsReply {
 	return port.NewsReply{
 		From: c.controllerFromProto(m.GetFrom()), Epoch: epochFromProto(m.GetEpoch()),
-		Accepted: ballotFromProto(m.GetAccepted()), Grants: m.GetGrants(), Known: each(m.GetKnown(), leaseFromProto),
-		Controllers: each(m.GetControllers(), c.controllerFromProto),
-		Endpoints:   each(m.GetEndpoints(), c.endpointFromProto),
+		Accepted: ballotFromProto(m.GetAccepted()), Grants: m.GetGrants(), Known: convertAll(m.GetKnown(), leaseFromProto),
+		Controllers: convertAll(m.GetControllers(), c.controllerFromProto),
+		Endpoints:   convertAll(m.GetEndpoints(), c.endpointFromProto),
 	}
 }
 
@@ -215,7 +217,7 @@
 	return port.WatchCursor{Incarnation: m.GetIncarnation(), Sequence: m.GetSequence()}
 }
 
-func (c codec) askToProto(a port.AskSlot) *fleetv1.AcquireRequest {
+func (c codec) slotRequestToProto(a port.AskSlot) *fleetv1.AcquireRequest {
 	return &fleetv1.AcquireRequest{
 		Id: a.ID, Gateway: a.Gateway, Region: a.Region, Service: a.Service, Priority: int32(a.Priority),
 		Affinity: a.Affinity, Zone: a.Zone, TargetMs: a.Target.Milliseconds(), DeadlineMs: -c.age(a.Deadline),
@@ -223,19 +225,19 @@
 	}
 }
 
-func (c codec) askFromProto(m *fleetv1.AcquireRequest) port.AskSlot {
+func (c codec) slotRequestFromProto(m *fleetv1.AcquireRequest) port.AskSlot {
 	return port.AskSlot{
 		Region: m.GetRegion(),
 		Ask: dispatch.Ask{
 			ID: m.GetId(), Gateway: m.GetGateway(), Service: m.GetService(), Priority: int(m.GetPriority()),
 			Affinity: m.GetAffinity(), Zone: m.GetZone(), Target: millis(m.GetTargetMs()),
-			Deadline: c.moment(-m.GetDeadlineMs()), Exclude: m.GetExclude(), Homes: m.GetHomes(),
+			Deadline: c.timeAt(-m.GetDeadlineMs()), Exclude: m.GetExclude(), Homes: m.GetHomes(),
 			Kind: m.GetKind(), Hint: m.GetHint(), Again: m.GetAgain(),
 		},
 	}
 }
 
-func (c codec) answerToProto(a dispatch.Decision) *fleetv1.AcquireResponse {
+func (c codec) decisionToProto(a dispatch.Decision) *fleetv1.AcquireResponse {
 	out := &fleetv1.AcquireResponse{
 		Grant: a.Grant, Region: a.Region, RetryAfterMs: a.RetryAfter.Milliseconds(), Reason: string(a.Reason),
 	}
@@ -245,7 +247,7 @@
 	return out
 }
 
-func (c codec) answerFromProto(m *fleetv1.AcquireResponse) dispatch.Decision {
+func (c codec) decisionFromProto(m *fleetv1.AcquireResponse) dispatch.Decision {
 	return dispatch.Decision{
 		Grant: m.GetGrant(), Endpoint: c.endpointFromProto(m.GetEndpoint()), Region: m.GetRegion(),
 		RetryAfter: millis(m.GetRetryAfterMs()), Reason: dispatch.Reason(m.GetReason()),
--- a/internal/adapter/fleetgrpc/message.go
+++ b/internal/adapter/fleetgrpc/message.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// Values of OrderResponse.refusal.
 const (
 	refusedConflict = "conflict"
 	refusedInForce  = "in-force"
@@ -90,13 +91,14 @@
 	return r
 }
 
-// neverConfirmed stands for a state that no quorum has confirmed.
+// neverConfirmed is the age in milliseconds that is sent for a state that no
+// quorum has confirmed.
 const neverConfirmed = -1
 
 func (c codec) updateToProto(u port.Update) (*fleetv1.WatchResponse, error) {
 	out := &fleetv1.WatchResponse{
-		ConfirmedAgeMs: neverConfirmed, Sequence: u.Sequence, Dispatchers: each(u.Dispatchers, leaseToProto),
-		Controllers: each(u.Controllers, c.controllerToProto), Cursor: cursorToProto(u.Cursor),
+		ConfirmedAgeMs: neverConfirmed, Sequence: u.Sequence, Dispatchers: convertAll(u.Dispatchers, leaseToProto),
+		Controllers: convertAll(u.Controllers, c.controllerToProto), Cursor: cursorToProto(u.Cursor),
 	}
 	if !u.Confirmed.IsZero() {
 		out.ConfirmedAgeMs = max(0, c.age(u.Confirmed))
@@ -111,8 +113,8 @@
 
 func (c codec) updateFromProto(m *fleetv1.WatchResponse) (port.Update, error) {
 	u := port.Update{
-		Sequence: m.GetSequence(), Dispatchers: each(m.GetDispatchers(), leaseFromProto),
-		Controllers: each(m.GetControllers(), c.controllerFromProto), Cursor: cursorFromProto(m.GetCursor()),
+		Sequence: m.GetSequence(), Dispatchers: convertAll(m.GetDispatchers(), leaseFromProto),
+		Controllers: convertAll(m.GetControllers(), c.controllerFromProto), Cursor: cursorFromProto(m.GetCursor()),
 	}
 	if m.GetConfirmedAgeMs() != neverConfirmed {
 		u.Confirmed = c.now.Add(-time.Duration(m.GetConfirmedAgeMs()) * time.Millisecond)
--- a/internal/adapter/fleetgrpc/message_test.go
+++ b/internal/adapter/fleetgrpc/message_test.go
@@ -11,8 +11,8 @@
 	"sassafrasreach/internal/core/fleet"
 )
 
-// sentOrder is the order whose change is in testdata/change.json, with no field
-// of the change at zero.
+// sentOrder is the order whose change is in testdata/change.json. Every field of
+// the change is set.
 var sentOrder = fleet.Order{Change: &fleet.Change{
 	Base: 41,
 	Config: fleet.Config{
@@ -33,8 +33,9 @@
 	Source: []byte("{\"version\": \"r42\"}"),
 }}
 
-// TestSentChangeKeepsItsNames reads a change that an earlier release sent and
-// packs it again: a renamed Go field must not change the names on the wire.
+// TestSentChangeKeepsItsNames guards against a renamed Go field that changes a
+// name on the wire: a change that an earlier release sent must decode to the same
+// fields, and encode to the same bytes again.
 func TestSentChangeKeepsItsNames(t *testing.T) {
 	is := is.New(t)
 	sent, err := os.ReadFile("testdata/change.json")
--- a/internal/adapter/fleetgrpc/server.go
+++ b/internal/adapter/fleetgrpc/server.go
@@ -14,7 +14,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// Server answers through a port.ControllerService.
+// Server passes the calls of FleetService to a port.ControllerService.
 type Server struct {
 	fleetv1.UnimplementedFleetServiceServer
 
@@ -22,7 +22,7 @@
 	clock   port.Clock
 }
 
-// NewServer returns a gRPC server of a controller.
+// NewServer returns a gRPC server for the service of a controller.
 func NewServer(service port.ControllerService, clock port.Clock) *grpc.Server {
 	s := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxSendMsgSize(maxMessageBytes),
@@ -36,31 +36,31 @@
 
 func (s *Server) codec() codec { return codec{s.clock.Now()} }
 
-// Prepare implements the service.
+// Prepare implements fleetv1.FleetServiceServer.
 func (s *Server) Prepare(ctx context.Context, m *fleetv1.PrepareRequest) (*fleetv1.PrepareResponse, error) {
 	p, err := s.service.Prepare(ctx, prepareFromProto(m))
 	return &fleetv1.PrepareResponse{Refusal: refusalToProto(p.Refusal), Accepted: acceptedToProto(p.Accepted)}, toStatus(err)
 }
 
-// Accept implements the service.
+// Accept implements fleetv1.FleetServiceServer.
 func (s *Server) Accept(ctx context.Context, m *fleetv1.AcceptRequest) (*fleetv1.AcceptResponse, error) {
 	refusal, err := s.service.Accept(ctx, acceptFromProto(m))
 	return &fleetv1.AcceptResponse{Refusal: refusalToProto(refusal)}, toStatus(err)
 }
 
-// Learn implements the service.
+// Learn implements fleetv1.FleetServiceServer.
 func (s *Server) Learn(ctx context.Context, m *fleetv1.LearnRequest) (*fleetv1.LearnResponse, error) {
 	err := s.service.Learn(ctx, epochFromProto(m.GetEpoch()), acceptedFromProto(m.GetChosen()))
 	return &fleetv1.LearnResponse{}, toStatus(err)
 }
 
-// Exchange implements the service.
+// Exchange implements fleetv1.FleetServiceServer.
 func (s *Server) Exchange(ctx context.Context, m *fleetv1.ExchangeRequest) (*fleetv1.ExchangeResponse, error) {
-	reply, err := s.service.Exchange(ctx, s.codec().newsFromProto(m))
-	return s.codec().replyToProto(reply), toStatus(err)
+	reply, err := s.service.Exchange(ctx, s.codec().exchangeFromProto(m))
+	return s.codec().exchangeReplyToProto(reply), toStatus(err)
 }
 
-// Order implements the service.
+// Order implements fleetv1.FleetServiceServer.
 func (s *Server) Order(ctx context.Context, m *fleetv1.OrderRequest) (*fleetv1.OrderResponse, error) {
 	o, err := orderFromProto(m)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return orderReplyToProto(reply), toStatus(err)
 }
 
-// Watch implements the service.
+// Watch implements fleetv1.FleetServiceServer.
 func (s *Server) Watch(ctx context.Context, m *fleetv1.WatchRequest) (*fleetv1.WatchResponse, error) {
 	u, err := s.service.Watch(ctx, s.codec().gatewayFromProto(m.GetGateway()), cursorFromProto(m.GetCursor()))
 	if err != nil {
@@ -80,18 +80,19 @@
 	return out, toStatus(err)
 }
 
-// Acquire implements the service.
+// Acquire implements fleetv1.FleetServiceServer.
 func (s *Server) Acquire(ctx context.Context, m *fleetv1.AcquireRequest) (*fleetv1.AcquireResponse, error) {
-	a, err := s.service.Acquire(ctx, s.codec().askFromProto(m))
-	return s.codec().answerToProto(a), toStatus(err)
+	a, err := s.service.Acquire(ctx, s.codec().slotRequestFromProto(m))
+	return s.codec().decisionToProto(a), toStatus(err)
 }
 
-// Release implements the service.
+// Release implements fleetv1.FleetServiceServer.
 func (s *Server) Release(ctx context.Context, m *fleetv1.ReleaseRequest) (*fleetv1.ReleaseResponse, error) {
-	return &fleetv1.ReleaseResponse{}, toStatus(s.service.Release(ctx, each(m.GetReleased(), releaseFromProto)))
+	return &fleetv1.ReleaseResponse{}, toStatus(s.service.Release(ctx, convertAll(m.GetReleased(), releaseFromProto)))
 }
 
-// toStatus gives an error its code, so that the other side can tell it.
+// toStatus converts an error to a gRPC status. The code lets fromStatus restore
+// port.ErrNotDispatcher; any other error becomes Unavailable.
 func toStatus(err error) error {
 	switch {
 	case err == nil:
@@ -103,7 +104,8 @@
 	}
 }
 
-// fromStatus restores the typed error behind a code.
+// fromStatus restores the error that a status code stands for and adds the
+// controller's address.
 func fromStatus(err error, address string) error {
 	switch status.Code(err) {
 	case codes.FailedPrecondition:
