--- a/internal/adapter/disk/folder.go
+++ b/internal/adapter/disk/folder.go
@@ -9,19 +9,20 @@
 )
 
 var (
-	// ErrMissing means that there is no such record.
+	// ErrMissing means that the record doesn't exist.
 	ErrMissing = errors.New("record is missing")
-	// ErrCorrupt means that a record doesn't verify.
+	// ErrCorrupt means that a record exists but has a wrong format, length or
+	// checksum, or content that can't be decoded.
 	ErrCorrupt = errors.New("record is corrupt")
-	// ErrFailed means that an earlier operation failed and the folder must not
-	// be used until the process starts again.
+	// ErrFailed means that this or an earlier operation on the folder failed, or
+	// that the Folder is closed. The Folder can't be used any more.
 	ErrFailed = errors.New("data folder failed")
 )
 
-// nextSuffix marks the file that is being written.
+// nextSuffix marks the file to which the next content of a record is written.
 const nextSuffix = ".next"
 
-// Folder holds named records. It is not safe for concurrent use.
+// Folder stores named records. It is not safe for concurrent use.
 type Folder struct {
 	fs     FS
 	path   string
@@ -29,30 +30,31 @@
 	failed error
 }
 
-// Open returns the folder at path, for this process alone, and creates it if it
-// doesn't exist. The error wraps ErrFailed.
+// Open locks the folder at path and creates it if it doesn't exist. It fails if
+// the folder is already open, in this process or another. The error wraps
+// ErrFailed.
 func Open(files FS, path string) (*Folder, error) {
 	if err := files.MakeFolder(path); err != nil {
-		return nil, fmt.Errorf("%w: create: %w", ErrFailed, err)
+		return nil, fmt.Errorf("%w: create folder: %w", ErrFailed, err)
 	}
 	if err := files.SyncFolder(filepath.Dir(path)); err != nil {
-		return nil, fmt.Errorf("%w: sync parent: %w", ErrFailed, err)
+		return nil, fmt.Errorf("%w: sync parent folder: %w", ErrFailed, err)
 	}
 	lock, err := files.Lock(path)
 	if err != nil {
-		return nil, fmt.Errorf("%w: another process has it: %w", ErrFailed, err)
+		return nil, fmt.Errorf("%w: lock folder (another process may hold it): %w", ErrFailed, err)
 	}
 	return &Folder{fs: files, path: path, lock: lock}, nil
 }
 
-// Close gives the folder free for another process.
+// Close unlocks the folder. Later calls of Load and Save fail.
 func (f *Folder) Close() error {
-	f.failed = fmt.Errorf("%w: closed", ErrFailed)
+	f.failed = fmt.Errorf("%w: the folder is closed", ErrFailed)
 	return f.lock.Close()
 }
 
 // Load returns the payload of a record. The error wraps ErrMissing, ErrCorrupt
-// or, when the file can't be read, ErrFailed.
+// or, when the file can't be read or the folder has failed, ErrFailed.
 func (f *Folder) Load(name string) ([]byte, error) {
 	if f.failed != nil {
 		return nil, f.failed
@@ -71,8 +73,8 @@
 	return payload, nil
 }
 
-// Save replaces a record and returns after it is durable. After an error, which
-// wraps ErrFailed, every further call fails.
+// Save replaces a record and returns when it is durable. The error wraps
+// ErrFailed, and after it every further call fails.
 func (f *Folder) Save(name string, payload []byte) error {
 	if f.failed != nil {
 		return f.failed
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// Failed returns the error that stopped the folder, or nil.
+// Failed returns the error after which the folder rejects all calls, or nil.
 func (f *Folder) Failed() error { return f.failed }
 
 func (f *Folder) write(path string, record []byte) error {
--- a/internal/adapter/disk/folder_test.go
+++ b/internal/adapter/disk/folder_test.go
@@ -15,8 +15,8 @@
 
 var errDevice = errors.New("device error")
 
-// fakeFS keeps what was written apart from what is durable. Its operation
-// number failAt fails, after a part of a write has gone through.
+// fakeFS distinguishes what was written from what is durable. Operation number
+// failAt fails, counted from 1; a write that fails has written half of its bytes.
 type fakeFS struct {
 	names   map[string]*fakeFile
 	durable map[string]*fakeFile
@@ -100,17 +100,17 @@
 
 func (f *fakeFile) Close() error { return f.fs.op() }
 
-// crash returns the file system as it is found after a power failure. Names
-// and content that weren't synced are lost, or are there, as kept says.
-func (f *fakeFS) crash(kept bool) *fakeFS {
+// crash returns the file system as a process finds it after a power failure. Names
+// and content that weren't synced are keepUnsynced or lost, depending on keepUnsynced.
+func (f *fakeFS) crash(keepUnsynced bool) *fakeFS {
 	after := newFakeFS()
 	names := f.durable
-	if kept {
+	if keepUnsynced {
 		names = f.names
 	}
 	for name, file := range names {
 		data := file.durable
-		if kept {
+		if keepUnsynced {
 			data = file.data
 		}
 		after.names[name] = &fakeFile{fs: after, data: data, durable: data}
@@ -121,13 +121,14 @@
 
 const path = "data"
 
-// TestSaveFaults fails and crashes a save at each of its steps: create, write
-// (torn, or the disk is full), sync, close, rename, sync of the folder.
+// TestSaveFaults guards against a crash or an error during a save that leaves
+// anything but the old or the new content. It injects them at each step: create,
+// write (torn, or the disk is full), sync, close, rename, sync of the folder.
 func TestSaveFaults(t *testing.T) {
 	const saveOps = 6
 	for step := 1; step <= saveOps+1; step++ {
-		for _, kept := range []bool{false, true} {
-			t.Run(fmt.Sprintf("step %d, unsynced kept %v", step, kept), func(t *testing.T) {
+		for _, keepUnsynced := range []bool{false, true} {
+			t.Run(fmt.Sprintf("step %d, keep unsynced %v", step, keepUnsynced), func(t *testing.T) {
 				is := is.New(t)
 				files := newFakeFS()
 				folder, err := disk.Open(files, path)
@@ -140,10 +141,10 @@
 				is.Equal(errors.Is(err, errDevice), fails)
 				if fails {
 					_, err = folder.Load("state")
-					is.True(errors.Is(err, disk.ErrFailed))                       // nothing is read after a failure
-					is.True(errors.Is(folder.Save("other", nil), disk.ErrFailed)) // nor written
+					is.True(errors.Is(err, disk.ErrFailed))                       // a failed folder rejects reads
+					is.True(errors.Is(folder.Save("other", nil), disk.ErrFailed)) // and writes
 				}
-				again, err := disk.Open(files.crash(kept), path)
+				again, err := disk.Open(files.crash(keepUnsynced), path)
 				is.NoErr(err)
 				payload, err := again.Load("state")
 				is.NoErr(err)
@@ -153,6 +154,9 @@
 	}
 }
 
+// TestLoadFaults guards against a damaged record that is taken for a valid one:
+// shortened to each length, extended, or with any one bit flipped. It also covers
+// missing records and failing operations.
 func TestLoadFaults(t *testing.T) {
 	record := func(t *testing.T) (*fakeFS, *fakeFile) {
 		files := newFakeFS()
@@ -198,7 +202,10 @@
 	}
 }
 
-func TestOSKeepsRecords(t *testing.T) {
+// TestOSStoresRecords guards against faults of the OS file system: a record that
+// can't be read after the folder is opened again, and a closed folder that is
+// still usable.
+func TestOSStoresRecords(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir() + "/data"
 	folder, err := disk.Open(disk.OS{}, dir)
@@ -208,7 +215,7 @@
 	is.NoErr(folder.Save("state", []byte("one")))
 	is.NoErr(folder.Save("state", []byte("two")))
 	_, err = disk.Open(disk.OS{}, dir)
-	is.True(errors.Is(err, disk.ErrFailed)) // one process at a time
+	is.True(errors.Is(err, disk.ErrFailed)) // the folder is locked
 	is.NoErr(folder.Close())
 	is.True(errors.Is(folder.Save("state", nil), disk.ErrFailed))
 	again, err := disk.Open(disk.OS{}, dir)
@@ -218,6 +225,8 @@
 	is.Equal(string(payload), "two")
 }
 
+// TestFolderIsForOneProcess guards against two processes that write to the same
+// folder: a second Open must fail until the first Folder is closed.
 func TestFolderIsForOneProcess(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
--- a/internal/adapter/disk/fs.go
+++ b/internal/adapter/disk/fs.go
@@ -12,33 +12,33 @@
 	folderPermissions = 0o700
 )
 
-// File is an open file that is written once.
+// File is an open file for writing.
 type File interface {
 	io.Writer
-	// Sync returns after the file's content is durable.
+	// Sync returns when the file's content is durable.
 	Sync() error
 	Close() error
 }
 
-// FS is the part of a file system that a Folder needs.
+// FS is the set of file system operations that a Folder needs.
 type FS interface {
 	// MakeFolder creates a folder and its parents if they don't exist.
 	MakeFolder(path string) error
 	// Read returns a file's content; the error wraps fs.ErrNotExist when there
 	// is no such file.
 	Read(path string) ([]byte, error)
-	// Create opens an empty file for writing, in place of any older one.
+	// Create opens a file for writing. It truncates an existing file.
 	Create(path string) (File, error)
-	// Rename moves a file over another in one step.
+	// Rename atomically moves a file over another.
 	Rename(from, to string) error
-	// Lock takes a folder for this process alone until the lock is closed. It
-	// fails at once when another holds it.
+	// Lock takes an exclusive lock on a folder, which is held until the returned
+	// Closer is closed. It fails at once when the lock is already held.
 	Lock(path string) (io.Closer, error)
-	// SyncFolder returns after the names in a folder are durable.
+	// SyncFolder returns when the names in a folder are durable.
 	SyncFolder(path string) error
 }
 
-// OS is the FS of the operating system.
+// OS implements FS with the operating system's file system.
 type OS struct{}
 
 // MakeFolder implements FS.
@@ -55,7 +55,7 @@
 // Rename implements FS.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Lock implements FS with flock(2), which ends with the process.
+// Lock implements FS with flock(2); the lock is released when the process ends.
 func (OS) Lock(path string) (io.Closer, error) {
 	folder, err := os.Open(path)
 	if err != nil {
--- a/internal/adapter/disk/voterstore.go
+++ b/internal/adapter/disk/voterstore.go
@@ -12,25 +12,26 @@
 // voterRecord is the name of the record that holds a voter's state.
 const voterRecord = "voter"
 
-// VoterStore keeps a voter's state in a folder. After a failed write it opens
-// the folder again, so that a disk that works again is used again. It is not
+// VoterStore stores a voter's state in a folder. After a failed operation, Save
+// opens the folder again, so that the voter recovers when its disk does. It is not
 // safe for concurrent use.
 type VoterStore struct {
-	fs     FS
-	path   string
-	folder *Folder
-	failed func(error)
+	fs      FS
+	path    string
+	folder  *Folder
+	onError func(error)
 }
 
 var _ port.VoterStore = (*VoterStore)(nil)
 
-// OpenVoterStore opens the store in a folder; failed is told of each error.
-func OpenVoterStore(files FS, path string, failed func(error)) (*VoterStore, error) {
+// OpenVoterStore opens the store in a folder. Save calls onError with each error
+// of the folder.
+func OpenVoterStore(files FS, path string, onError func(error)) (*VoterStore, error) {
 	folder, err := Open(files, path)
 	if err != nil {
 		return nil, err
 	}
-	return &VoterStore{fs: files, path: path, folder: folder, failed: failed}, nil
+	return &VoterStore{fs: files, path: path, folder: folder, onError: onError}, nil
 }
 
 // Load implements port.VoterStore. The error wraps ErrCorrupt or ErrFailed.
@@ -49,24 +50,24 @@
 	return state, true, nil
 }
 
-// Save implements port.VoterStore. The error wraps ErrFailed.
+// Save implements port.VoterStore. An error of the folder wraps ErrFailed.
 func (s *VoterStore) Save(state quorum.State) error {
 	if err := s.reopen(); err != nil {
-		s.failed(err)
+		s.onError(err)
 		return err
 	}
 	payload, err := json.Marshal(state)
 	if err != nil {
-		return fmt.Errorf("encode voter: %w", err)
+		return fmt.Errorf("encode voter state: %w", err)
 	}
 	if err := s.folder.Save(voterRecord, payload); err != nil {
-		s.failed(err)
+		s.onError(err)
 		return err
 	}
 	return nil
 }
 
-// reopen replaces a folder that has failed.
+// reopen opens the folder again if it has failed.
 func (s *VoterStore) reopen() error {
 	if s.folder.Failed() == nil {
 		return nil
--- a/internal/adapter/disk/voterstore_test.go
+++ b/internal/adapter/disk/voterstore_test.go
@@ -11,7 +11,7 @@
 	"sassafrasreach/internal/core/quorum"
 )
 
-// storedVoter is the state in testdata/voter, with no field at zero.
+// storedVoter is the state in testdata/voter. Every field is set.
 var storedVoter = quorum.State{
 	ID: "disk-7",
 	Epoch: quorum.Epoch{Number: 3, Voters: []quorum.Voter{
@@ -27,8 +27,9 @@
 	},
 }
 
-// TestStoredVoterKeepsItsNames reads a record that an earlier release wrote and
-// writes it again: a renamed Go field must not change the stored names.
+// TestStoredVoterKeepsItsNames guards against a renamed Go field that changes a
+// stored name: a record that an earlier release wrote must decode to the same
+// fields, and encode to the same bytes again.
 func TestStoredVoterKeepsItsNames(t *testing.T) {
 	is := is.New(t)
 	stored, err := os.ReadFile("testdata/voter")
