--- a/internal/adapter/settings/load.go
+++ b/internal/adapter/settings/load.go
@@ -9,19 +9,20 @@
 	"sassafrasreach/internal/core/strictyaml"
 )
 
-// Error says what is wrong with a settings file.
+// Error describes the first problem of a settings file.
 type Error struct {
 	// File is the path of the file.
 	File string
-	// Line is the line in the file, from 1; 0 when it isn't known.
+	// Line is the line in the file, counted from 1; 0 if it isn't known.
 	Line int
-	// Field is the path of the field, such as members[1].address.
+	// Field is the path of the field, such as members[1].address; empty if the
+	// problem isn't in one field.
 	Field string
-	// Message says what is wrong.
+	// Message describes the problem and, where it is known, what is valid.
 	Message string
 }
 
-// Error implements error.
+// Error returns the message with the file, the line and the field, if known.
 func (e *Error) Error() string {
 	text := e.Message
 	if e.Field != "" {
@@ -34,7 +35,7 @@
 }
 
 // LoadControl reads and checks the settings of a control VM. The error is an
-// *Error that tells the first fault.
+// *Error with the first problem.
 func LoadControl(path string) (Control, error) {
 	c := Control{LogLevel: DefaultLogLevel}
 	if err := load(path, &c, c.Validate); err != nil {
@@ -43,8 +44,8 @@
 	return c, nil
 }
 
-// LoadEntry reads and checks the settings of an entry VM. The error is an
-// *Error that tells the first fault.
+// LoadEntry reads and checks the settings of an entry VM. The error is an *Error
+// with the first problem.
 func LoadEntry(path string) (Entry, error) {
 	e := Entry{LogLevel: DefaultLogLevel, DrainLimit: Duration(DefaultDrainLimit)}
 	if err := load(path, &e, e.Validate); err != nil {
@@ -53,40 +54,42 @@
 	return e, nil
 }
 
-// UnknownPlace is the fault of an entry's settings whose place isn't in the
-// document. It can be told only when the first document has come.
+// UnknownPlace returns the error for an entry VM's settings whose place isn't in
+// the document. Only the first document that the entry VM receives shows this.
 func UnknownPlace(path, place string) *Error {
-	fault := &Error{File: path, Field: "place", Message: fmt.Sprintf("unknown place %q", place)}
+	e := &Error{File: path, Field: "place", Message: fmt.Sprintf("unknown place %q; it must be one of the places in the document", place)}
 	if text, err := read(path); err == nil {
-		fault.Line = strictyaml.NewIndex(text).Line(fault.Field)
+		e.Line = strictyaml.NewIndex(text).Line(e.Field)
 	}
-	return fault
+	return e
 }
 
-func load(path string, out any, validate func() []Fault) error {
+// load reads the file into out and validates it. The error is an *Error.
+func load(path string, out any, validate func() []Problem) error {
 	text, err := read(path)
 	if err != nil {
 		return &Error{File: path, Message: err.Error()}
 	}
 	err = strictyaml.Decode(text, out)
-	var unread *strictyaml.Error
-	if errors.As(err, &unread) {
-		p := unread.Problems[0]
+	var invalid *strictyaml.Error
+	if errors.As(err, &invalid) {
+		p := invalid.Problems[0]
 		return &Error{File: path, Line: p.Line, Field: p.Field, Message: p.Message}
 	}
 	if err != nil {
 		return &Error{File: path, Message: err.Error()}
 	}
-	faults := validate()
-	if len(faults) == 0 {
+	problems := validate()
+	if len(problems) == 0 {
 		return nil
 	}
-	first := faults[0]
+	first := problems[0]
 	line := strictyaml.NewIndex(text).Line(first.Field)
 	return &Error{File: path, Line: line, Field: first.Field, Message: first.Message}
 }
 
-// read returns the whole file, unless it is longer than MaxFileBytes.
+// read returns the content of the file. It fails if that is longer than
+// MaxFileBytes.
 func read(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -98,7 +101,7 @@
 		return nil, err
 	}
 	if len(text) > MaxFileBytes {
-		return nil, fmt.Errorf("the file has more than %d bytes", MaxFileBytes)
+		return nil, fmt.Errorf("the file is longer than the maximum of %d bytes", MaxFileBytes)
 	}
 	return text, nil
 }
--- a/internal/adapter/settings/reference_test.go
+++ b/internal/adapter/settings/reference_test.go
@@ -15,9 +15,10 @@
 
 var rowPattern = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([^|]*) \\| ([^|]*) \\| ([^|]*) \\| ([^|]*) \\| .+ \\|$")
 
-// TestReferenceIsAlike compares the page with the types: every field of each
-// role has one row, in the order of the type, with its type and default.
-func TestReferenceIsAlike(t *testing.T) {
+// TestReferenceMatchesTypes guards against a reference page of the settings that
+// differs from the code: each field must have one row, in the order of the Go type,
+// with its type and default.
+func TestReferenceMatchesTypes(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/reference/settings.md")
 	is.NoErr(err)
@@ -35,10 +36,11 @@
 	}
 }
 
-// field is a field as the page should show it.
+// field is a settings field as the reference page must show it.
 type field struct{ path, kind, value string }
 
-// fields lists the fields below a value, a list's by its first element.
+// fields lists the fields of a struct. The fields of a list of members are taken
+// from its first element.
 func fields(path string, v reflect.Value) []field {
 	var out []field
 	for i := range v.NumField() {
@@ -60,6 +62,8 @@
 	return out
 }
 
+// compare checks the rows of one table of the page against the fields. It leaves
+// out the default where the page says that the field is needed or empty.
 func compare(t *testing.T, rows string, want []field) {
 	t.Helper()
 	is := is.New(t)
--- a/internal/adapter/settings/types.go
+++ b/internal/adapter/settings/types.go
@@ -8,54 +8,57 @@
 
 // Control holds the settings of a control VM.
 type Control struct {
-	// Name identifies the control VM; it is one of the members.
+	// Name identifies the control VM; one of the members must have it.
 	Name string `yaml:"name"`
-	// DataDir is the folder on disk for the VM's own state.
+	// DataDir is the path of the folder in which the VM stores its state.
 	DataDir string `yaml:"data_dir"`
-	// PeerListen is the IP:port for the other control VMs and the entries (gRPC).
+	// PeerListen is the IP:port to listen on for the other control VMs and the
+	// entry VMs (gRPC).
 	PeerListen string `yaml:"peer_listen"`
-	// OperatorListen is the IP:port for operators (HTTP).
+	// OperatorListen is the IP:port to listen on for operators (HTTP).
 	OperatorListen string `yaml:"operator_listen"`
-	// Members are the 3 or 5 control VMs, this one among them.
+	// Members are the 3 or 5 control VMs, including this one.
 	Members []Member `yaml:"members"`
-	// BootstrapTokenSHA256 is the hex SHA-256 of the token that may apply the
-	// first document. It counts only while there is no document.
+	// BootstrapTokenSHA256 is the lower-case hex SHA-256 of the token that may apply
+	// the first document; empty means none. It is ignored once a document exists.
 	BootstrapTokenSHA256 string `yaml:"bootstrap_token_sha256"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level"`
 }
 
-// Member is one control VM.
+// Member names one control VM and its address.
 type Member struct {
 	// Name identifies the control VM.
 	Name string `yaml:"name"`
-	// Address is its PeerListen as the others reach it.
+	// Address is the IP:port at which the other VMs reach its PeerListen.
 	Address string `yaml:"address"`
 }
 
 // Entry holds the settings of an entry VM.
 type Entry struct {
-	// Name identifies the entry; the document lists it under the same name.
+	// Name identifies the entry VM; the document lists it under the same name.
 	Name string `yaml:"name"`
-	// Place names the failure domain that the VM is in.
+	// Place is the name of the failure domain of the VM, as in the document.
 	Place string `yaml:"place"`
-	// CallerListen is the IP:port for callers and endpoints (HTTP).
+	// CallerListen is the IP:port to listen on for callers and endpoints (HTTP).
 	CallerListen string `yaml:"caller_listen"`
-	// PeerListen is the IP:port for other entries and control VMs (gRPC).
+	// PeerListen is the IP:port to listen on for other entry VMs and control VMs
+	// (gRPC).
 	PeerListen string `yaml:"peer_listen"`
-	// Control lists the IP:port of the control VMs' peer addresses.
+	// Control lists the peer addresses (IP:port) of the control VMs.
 	Control []string `yaml:"control"`
-	// Seeds lists the IP:port of some other entries' peer addresses.
+	// Seeds lists the peer addresses (IP:port) of some other entry VMs.
 	Seeds []string `yaml:"seeds"`
-	// DrainLimit bounds the time that a planned stop may take.
+	// DrainLimit bounds the duration of a planned stop.
 	DrainLimit Duration `yaml:"drain_limit"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level"`
-	// MetricsListen is the IP:port for metrics (HTTP); empty means none.
+	// MetricsListen is the IP:port on which metrics are served (HTTP); empty means
+	// none.
 	MetricsListen string `yaml:"metrics_listen"`
 }
 
-// Duration is a time.Duration written as text such as "30s".
+// Duration is a time.Duration that is written as text, such as "30s".
 type Duration = document.Duration
 
 // Defaults and bounds of the settings.
@@ -67,6 +70,6 @@
 	// MinDrainLimit and MaxDrainLimit bound Entry.DrainLimit.
 	MinDrainLimit = time.Second
 	MaxDrainLimit = time.Hour
-	// MaxFileBytes bounds the length of a settings file.
+	// MaxFileBytes bounds the length of a settings file, in bytes.
 	MaxFileBytes = 1 << 20
 )
--- a/internal/adapter/settings/validate.go
+++ b/internal/adapter/settings/validate.go
@@ -7,140 +7,140 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// Fault is one thing that is wrong with settings.
-type Fault struct {
+// Problem describes one invalid field.
+type Problem struct {
 	// Field is the path of the field.
 	Field string
-	// Message says what is wrong.
+	// Message describes the problem and, where it is known, what is valid.
 	Message string
 }
 
-// LogLevels are the values of the LogLevel fields.
+// LogLevels returns the valid values of the LogLevel fields.
 func LogLevels() []string { return []string{"debug", "info", "warn", "error"} }
 
-// memberCounts are the numbers of control VMs that survive the loss of one or
-// two with a majority.
+// memberCounts are the valid numbers of control VMs: 3 keep a majority after the
+// loss of one, and 5 after the loss of two.
 var memberCounts = []int{3, 5}
 
-// faults collects what is wrong, in the order of the checks.
-type faults []Fault
+// problems collects invalid fields in the order of the checks.
+type problems []Problem
 
-func (fs *faults) add(field, format string, args ...any) {
-	*fs = append(*fs, Fault{Field: field, Message: fmt.Sprintf(format, args...)})
+func (ps *problems) add(field, format string, args ...any) {
+	*ps = append(*ps, Problem{Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-func (fs *faults) needed(field, value string) bool {
+func (ps *problems) required(field, value string) bool {
 	if value == "" {
-		fs.add(field, "this field is needed")
+		ps.add(field, "this field is required and must not be empty")
 	}
 	return value != ""
 }
 
-func (fs *faults) name(field, value string) {
-	if fs.needed(field, value) && !document.ValidName(value) {
-		fs.add(field, "%q isn't a name of 1 to %d letters a-z, digits and inner hyphens", value, document.MaxNameBytes)
+func (ps *problems) name(field, value string) {
+	if ps.required(field, value) && !document.ValidName(value) {
+		ps.add(field, "%q is not a valid name; it must have 1 to %d characters a-z, 0-9 and inner hyphens", value, document.MaxNameBytes)
 	}
 }
 
-func (fs *faults) address(field, value string) {
-	if !fs.needed(field, value) {
+func (ps *problems) address(field, value string) {
+	if !ps.required(field, value) {
 		return
 	}
 	if reason := document.CheckAddress(value); reason != "" {
-		fs.add(field, "%s", reason)
+		ps.add(field, "%s", reason)
 	}
 }
 
-func (fs *faults) addresses(field string, values []string) {
+func (ps *problems) addresses(field string, values []string) {
 	for i, value := range values {
 		at := fmt.Sprintf("%s[%d]", field, i)
-		fs.address(at, value)
+		ps.address(at, value)
 		if slices.Contains(values[:i], value) {
-			fs.add(at, "%q is listed twice", value)
+			ps.add(at, "%q is listed twice; each address must be listed once", value)
 		}
 	}
 }
 
-func (fs *faults) logLevel(value string) {
+func (ps *problems) logLevel(value string) {
 	if !slices.Contains(LogLevels(), value) {
-		fs.add("log_level", "%q isn't one of %v", value, LogLevels())
+		ps.add("log_level", "%q is not a log level; it must be one of %v", value, LogLevels())
 	}
 }
 
-func (fs *faults) metrics(value string) {
+func (ps *problems) metrics(value string) {
 	if value != "" {
-		fs.address("metrics_listen", value)
+		ps.address("metrics_listen", value)
 	}
 }
 
-// distinct reports listen addresses that are equal. An empty one is no address.
-func (fs *faults) distinct(fields []string, values []string) {
+// distinct reports listen addresses that are equal. Empty ones are not compared.
+func (ps *problems) distinct(fields []string, values []string) {
 	for i, value := range values {
 		if j := slices.Index(values, value); value != "" && j < i {
-			fs.add(fields[i], "%q is already %s", value, fields[j])
+			ps.add(fields[i], "%q is already the value of %s; listen addresses must differ", value, fields[j])
 		}
 	}
 }
 
-// Validate returns all faults of the settings.
-func (c *Control) Validate() []Fault {
-	var fs faults
-	fs.name("name", c.Name)
-	fs.needed("data_dir", c.DataDir)
-	fs.address("peer_listen", c.PeerListen)
-	fs.address("operator_listen", c.OperatorListen)
-	c.members(&fs)
+// Validate returns all problems of the settings, in the order of the checks.
+func (c *Control) Validate() []Problem {
+	var ps problems
+	ps.name("name", c.Name)
+	ps.required("data_dir", c.DataDir)
+	ps.address("peer_listen", c.PeerListen)
+	ps.address("operator_listen", c.OperatorListen)
+	c.members(&ps)
 	if c.BootstrapTokenSHA256 != "" && !document.ValidTokenHash(c.BootstrapTokenSHA256) {
-		fs.add("bootstrap_token_sha256", "the lower-case hex SHA-256 of a token that isn't empty is wanted")
+		ps.add("bootstrap_token_sha256", "the value must be the lower-case hex SHA-256 of a token that isn't empty")
 	}
-	fs.logLevel(c.LogLevel)
-	fs.distinct([]string{"peer_listen", "operator_listen"}, []string{c.PeerListen, c.OperatorListen})
-	return fs
+	ps.logLevel(c.LogLevel)
+	ps.distinct([]string{"peer_listen", "operator_listen"}, []string{c.PeerListen, c.OperatorListen})
+	return ps
 }
 
-func (c *Control) members(fs *faults) {
+func (c *Control) members(ps *problems) {
 	if !slices.Contains(memberCounts, len(c.Members)) {
-		fs.add("members", "there are %d members; 3 or 5 are needed", len(c.Members))
+		ps.add("members", "%d members are listed; there must be 3 or 5", len(c.Members))
 		return
 	}
-	own := false
+	found := false
 	for i, m := range c.Members {
 		at := fmt.Sprintf("members[%d]", i)
-		fs.name(at+".name", m.Name)
-		fs.address(at+".address", m.Address)
+		ps.name(at+".name", m.Name)
+		ps.address(at+".address", m.Address)
 		for _, other := range c.Members[:i] {
 			if m.Name == other.Name {
-				fs.add(at+".name", "%q is listed twice", m.Name)
+				ps.add(at+".name", "%q is listed twice; each member needs its own name", m.Name)
 			}
 			if m.Address == other.Address {
-				fs.add(at+".address", "%q is listed twice", m.Address)
+				ps.add(at+".address", "%q is listed twice; each member needs its own address", m.Address)
 			}
 		}
-		own = own || m.Name == c.Name
+		found = found || m.Name == c.Name
 	}
-	if !own {
-		fs.add("members", "%q, the name of this VM, isn't among them", c.Name)
+	if !found {
+		ps.add("members", "%q, the name of this VM, must be the name of one of the members", c.Name)
 	}
 }
 
-// Validate returns all faults of the settings.
-func (e *Entry) Validate() []Fault {
-	var fs faults
-	fs.name("name", e.Name)
-	fs.name("place", e.Place)
-	fs.address("caller_listen", e.CallerListen)
-	fs.address("peer_listen", e.PeerListen)
+// Validate returns all problems of the settings, in the order of the checks.
+func (e *Entry) Validate() []Problem {
+	var ps problems
+	ps.name("name", e.Name)
+	ps.name("place", e.Place)
+	ps.address("caller_listen", e.CallerListen)
+	ps.address("peer_listen", e.PeerListen)
 	if len(e.Control) == 0 {
-		fs.add("control", "at least one control VM is needed")
+		ps.add("control", "at least one control VM must be listed")
 	}
-	fs.addresses("control", e.Control)
-	fs.addresses("seeds", e.Seeds)
+	ps.addresses("control", e.Control)
+	ps.addresses("seeds", e.Seeds)
 	if e.DrainLimit.Std() < MinDrainLimit || e.DrainLimit.Std() > MaxDrainLimit {
-		fs.add("drain_limit", "%v isn't between %v and %v", e.DrainLimit.Std(), MinDrainLimit, MaxDrainLimit)
+		ps.add("drain_limit", "%v is out of range; it must be between %v and %v", e.DrainLimit.Std(), MinDrainLimit, MaxDrainLimit)
 	}
-	fs.logLevel(e.LogLevel)
-	fs.metrics(e.MetricsListen)
-	fs.distinct([]string{"caller_listen", "peer_listen", "metrics_listen"},
+	ps.logLevel(e.LogLevel)
+	ps.metrics(e.MetricsListen)
+	ps.distinct([]string{"caller_listen", "peer_listen", "metrics_listen"},
 		[]string{e.CallerListen, e.PeerListen, e.MetricsListen})
-	return fs
+	return ps
 }
