--- a/internal/adapter/endpointhttp/answer.go
+++ b/internal/adapter/endpointhttp/answer.go
@@ -5,23 +5,24 @@
 	"net/http"
 )
 
-// answer is an answer whose body is still on the connection. The exchange ends
-// the body with the connection, not by closing it.
-type answer struct {
+// response is a response whose body hasn't been read from the connection yet. The
+// body is never closed; the exchange reads it to its end or closes the connection.
+type response struct {
 	status int
 	header http.Header
-	// length is the size of the body in bytes; 0 without a body, -1 when only
-	// the body's own framing tells.
+	// length is the declared size of the body in bytes: 0 without a body, -1 if the
+	// head doesn't declare it.
 	length int64
-	// framed says that the body's end can be told from a broken connection.
+	// framed means that the end of the body can be distinguished from a broken
+	// connection: the length is known or the body has a transfer coding.
 	framed bool
-	// close says that the endpoint closes the connection.
+	// close means that the connection can't be reused after this response.
 	close bool
 	body  io.Reader
 }
 
-func newAnswer(in *http.Response) *answer {
-	a := &answer{
+func newResponse(in *http.Response) *response {
+	r := &response{
 		status: in.StatusCode,
 		header: in.Header,
 		length: in.ContentLength,
@@ -30,8 +31,8 @@
 		body:   in.Body,
 	}
 	if in.Body == http.NoBody {
-		a.length = 0
-		a.framed = true
+		r.length = 0
+		r.framed = true
 	}
-	return a
+	return r
 }
--- a/internal/adapter/endpointhttp/body.go
+++ b/internal/adapter/endpointhttp/body.go
@@ -10,31 +10,31 @@
 	"sassafrasreach/internal/port"
 )
 
-// readBody holds the body up to HoldBytes and lets the rest stream.
-func (x *exchange) readBody(in *answer) (*port.Response, error) {
-	hold := min(x.caller.opts.HoldBytes, x.maxBytes())
-	body, whole, err := readUpTo(in, hold)
-	if err == nil && whole {
-		err = x.leftover()
+// readBody buffers the body up to MaxBufferedBytes and streams the remainder.
+func (x *exchange) readBody(in *response) (*port.Response, error) {
+	limit := min(x.caller.opts.MaxBufferedBytes, x.maxBytes())
+	body, complete, err := readUpTo(in, limit)
+	if err == nil && complete {
+		err = x.checkTrailingBytes()
 	}
-	if err == nil && !whole && hold == x.maxBytes() {
-		err = fmt.Errorf("%w: over %d bytes", ErrTooLarge, hold)
+	if err == nil && !complete && limit == x.maxBytes() {
+		err = fmt.Errorf("%w: more than %d bytes", ErrTooLarge, limit)
 	}
 	if err != nil {
 		return nil, x.fail(verdict.ReasonBadAnswer, err)
 	}
 	out := &port.Response{Status: in.status, Header: endToEnd(in.header), Body: body}
-	if whole {
+	if complete {
 		x.finish(in)
 		return out, nil
 	}
-	out.Rest = &rest{x: x, in: in, left: x.maxBytes() - int64(len(body))}
+	out.Rest = &bodyStream{x: x, in: in, left: x.maxBytes() - int64(len(body))}
 	return out, nil
 }
 
-// readUpTo reads at most limit bytes, and reports whether they are the whole
-// body.
-func readUpTo(in *answer, limit int64) (body []byte, whole bool, err error) {
+// readUpTo reads the body up to limit bytes, and one more to detect its end. It
+// reports whether the body is complete; otherwise body has limit+1 bytes.
+func readUpTo(in *response, limit int64) (body []byte, complete bool, err error) {
 	var b bytes.Buffer
 	if in.length > 0 {
 		b.Grow(int(min(in.length, limit)) + bytes.MinRead)
@@ -55,19 +55,20 @@
 	return b.Bytes(), false, err
 }
 
-// rest streams the part of a body that isn't held. It isn't safe for concurrent
-// use.
-type rest struct {
+// bodyStream is the part of a body that isn't buffered. It isn't safe for
+// concurrent use.
+type bodyStream struct {
 	x    *exchange
-	in   *answer
+	in   *response
 	left int64
-	// err is what Read returns from now on; nil while the body goes on.
+	// err is the error of all further calls of Read; nil before the end of the
+	// body.
 	err error
 }
 
-// Read implements io.Reader. It returns io.EOF only after the whole body, and a
-// *verdict.Error for a body that was truncated or is too large.
-func (r *rest) Read(p []byte) (int, error) {
+// Read implements io.Reader. It returns io.EOF only after the complete body, and a
+// *verdict.Error if the body is truncated or too large.
+func (r *bodyStream) Read(p []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
 	}
@@ -77,8 +78,8 @@
 		r.fail(ErrTooLarge)
 		return 0, r.err
 	}
-	if errors.Is(err, io.EOF) && r.x.leftover() != nil {
-		err = r.x.leftover()
+	if errors.Is(err, io.EOF) && r.x.checkTrailingBytes() != nil {
+		err = r.x.checkTrailingBytes()
 	}
 	switch {
 	case errors.Is(err, io.EOF):
@@ -90,15 +91,15 @@
 	return n, r.err
 }
 
-// Close implements io.Closer. A body that wasn't read to its end costs the
-// connection.
-func (r *rest) Close() error {
+// Close implements io.Closer. If the body wasn't read to its end, the connection
+// is closed instead of reused.
+func (r *bodyStream) Close() error {
 	if r.err == nil {
-		r.fail(errors.New("answer closed before its end"))
+		r.fail(errors.New("response body closed before its end"))
 	}
 	return nil
 }
 
-func (r *rest) fail(err error) {
+func (r *bodyStream) fail(err error) {
 	r.err = r.x.fail(verdict.ReasonBadAnswer, err)
 }
--- a/internal/adapter/endpointhttp/caller.go
+++ b/internal/adapter/endpointhttp/caller.go
@@ -18,7 +18,7 @@
 	opts Options
 
 	mu sync.Mutex
-	// pools holds the connections by endpoint incarnation; must hold mu.
+	// pools holds the connections of each endpoint incarnation. Guarded by mu.
 	pools map[poolKey]*pool
 }
 
@@ -35,13 +35,14 @@
 	return &Caller{opts: opts.withDefaults(), pools: make(map[poolKey]*pool)}
 }
 
-// Call sends req to the endpoint once. A once-only request goes over a new
-// connection or one that answered within FreshWithin; an idempotent one may use
-// any that answered within IdleTimeout.
+// Call sends req to the endpoint at most once. A once-only request uses a new
+// connection or one that was opened or last delivered a response within
+// OnceOnlyMaxIdle; for other requests the limit is IdleTimeout. A nil gate is
+// always open. Every error is a *verdict.Error.
 func (c *Caller) Call(ctx context.Context, to port.Endpoint, req *port.Request, gate port.Gate) (*port.Response, error) {
 	maxAge := c.opts.IdleTimeout
 	if req.OnceOnly {
-		maxAge = c.opts.FreshWithin
+		maxAge = c.opts.OnceOnlyMaxIdle
 	}
 	cancel := context.CancelFunc(func() {})
 	if !req.Deadline.IsZero() {
@@ -68,19 +69,20 @@
 		gate = openGate{}
 	}
 	if err := gate.Open(); err != nil {
-		x.unsent()
+		x.releaseUnsent()
 		return nil, err
 	}
 	return x.run(httpReq, gate)
 }
 
-// openGate stands in for none.
+// openGate is the gate of a call without one.
 type openGate struct{}
 
 func (openGate) Open() error { return nil }
 func (openGate) Written()    {}
 
-// connect returns an idle connection proven within maxAge or a new one.
+// connect returns an idle connection that was last alive within maxAge, or a new
+// one.
 func (c *Caller) connect(ctx context.Context, p *pool, maxAge time.Duration) (*conn, error) {
 	if idle := p.reuse(c.opts.Clock.Now(), maxAge); idle != nil {
 		return idle, nil
@@ -94,8 +96,8 @@
 	return newConn(raw, c.opts.Clock.Now()), nil
 }
 
-// pool returns the endpoint's pool. The pools of the endpoint's other
-// incarnations are closed.
+// pool returns the pool of the endpoint incarnation. When it creates one, it
+// closes the pools of the endpoint's other incarnations and addresses.
 func (c *Caller) pool(to port.Endpoint) *pool {
 	key := poolKey{to.ID, to.Incarnation, to.Address}
 	c.mu.Lock()
@@ -109,15 +111,16 @@
 	return p
 }
 
-// Forget closes the idle connections to an endpoint that is gone.
+// Forget closes the idle connections to an endpoint that no longer exists.
+// Connections in use are closed when their calls end.
 func (c *Caller) Forget(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.forget(id)
 }
 
-// forget closes the pools of an endpoint. Must hold mu, which is taken before
-// any pool's.
+// forget closes the pools of an endpoint. The caller must hold mu. Lock order: mu
+// is acquired before the mu of a pool.
 func (c *Caller) forget(id string) {
 	for key, p := range c.pools {
 		if key.id == id {
@@ -127,8 +130,8 @@
 	}
 }
 
-// Sweep closes the connections that have been idle for IdleTimeout. It is meant
-// to be called about once a second.
+// Sweep closes the connections that have been idle for IdleTimeout. It should be
+// called about once a second.
 func (c *Caller) Sweep() {
 	oldest := c.opts.Clock.Now().Add(-c.opts.IdleTimeout)
 	c.mu.Lock()
@@ -140,7 +143,8 @@
 	}
 }
 
-// Close closes all idle connections; those in use close as their calls end.
+// Close closes all idle connections. Connections in use are closed when their
+// calls end.
 func (c *Caller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +154,8 @@
 	}
 }
 
-// newRequest builds the request as it is written to the endpoint.
+// newRequest builds the HTTP request for the endpoint. It fails if net/http would
+// write a target that differs from req.Target.
 func (c *Caller) newRequest(ctx context.Context, to port.Endpoint, req *port.Request) (*http.Request, error) {
 	if !strings.HasPrefix(req.Target, "/") {
 		return nil, errBadTarget
@@ -163,7 +168,7 @@
 		return nil, errBadTarget
 	}
 	out.Header = endToEnd(req.Header)
-	c.opts.Dialect.address(out.Header, to, req)
+	c.opts.Dialect.setHeaders(out.Header, to, req)
 	if req.Host != "" {
 		out.Host = req.Host
 	}
@@ -173,8 +178,10 @@
 	return out, nil
 }
 
-// exchangeID returns the ID that an answer must echo. Callers choose their IDs
-// freely and may choose the same, so each exchange adds a part of its own.
+// exchangeID returns the ID that a response must echo. Callers choose their
+// request IDs and may choose the same ones, so a random part is added for each
+// exchange. An ID with a space or a byte that isn't printable ASCII is replaced by
+// a random one.
 func exchangeID(id string) string {
 	for _, c := range []byte(id) {
 		if c <= ' ' || c > '~' {
--- a/internal/adapter/endpointhttp/conn.go
+++ b/internal/adapter/endpointhttp/conn.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// conn is one connection to an endpoint. One call uses it at a time.
+// conn is a connection to an endpoint. It is used by one call at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// input bounds the bytes of an answer's head.
+	// input limits the size of a response head.
 	input *boundedReader
-	// written counts the bytes that the kernel took since the last reset.
+	// written counts the bytes of the current request that the kernel accepted.
 	written int64
-	// proven is when the endpoint last answered on the connection, or when the
-	// connection was opened.
-	proven time.Time
+	// lastAlive is when the connection last delivered a complete response, or when
+	// it was opened.
+	lastAlive time.Time
 }
 
 func newConn(raw net.Conn, now time.Time) *conn {
-	c := &conn{Conn: raw, proven: now}
+	c := &conn{Conn: raw, lastAlive: now}
 	c.input = &boundedReader{source: raw}
 	c.reader = bufio.NewReaderSize(c.input, readBufferBytes)
 	c.writer = bufio.NewWriterSize(countingWriter{c}, writeBufferBytes)
 	return c
 }
 
-// countingWriter adds up what the connection's kernel side took.
+// countingWriter counts the bytes that the kernel accepted for the connection.
 type countingWriter struct{ c *conn }
 
 func (w countingWriter) Write(p []byte) (int, error) {
@@ -39,12 +39,12 @@
 	return n, err
 }
 
-// boundedReader fails after a number of bytes, so that an endless answer head
-// takes no memory.
+// boundedReader fails after a number of bytes, so that an endless response head
+// can't exhaust memory.
 type boundedReader struct {
 	source io.Reader
 	left   int64
-	// err is the source's error, which parsers may hide behind their own.
+	// err is the last error of source; parsers may return their own instead.
 	err error
 }
 
@@ -61,8 +61,8 @@
 	return n, err
 }
 
-// boundHead begins the reading of an answer's head.
-func (c *conn) boundHead() { c.input.left = maxHeaderBytes }
+// limitHead limits the bytes to be read to those of a response head.
+func (c *conn) limitHead() { c.input.left = maxHeaderBytes }
 
-// unbound lets an answer's body follow; it has its own bound.
-func (c *conn) unbound() { c.input.left = math.MaxInt64 }
+// removeLimit removes the limit for the response body, which is limited elsewhere.
+func (c *conn) removeLimit() { c.input.left = math.MaxInt64 }
--- a/internal/adapter/endpointhttp/dialect.go
+++ b/internal/adapter/endpointhttp/dialect.go
@@ -8,30 +8,35 @@
 	"sassafrasreach/internal/port"
 )
 
-// Dialect names the headers by which requests and answers are told.
+// Dialect is a header convention of endpoints: the names of the headers that the
+// Caller sets, and how it interprets responses.
 type Dialect struct {
-	// IDHeader carries the ID of a request to the endpoint and back.
+	// IDHeader names the header with the ID of a request; a response must echo it.
 	IDHeader string
-	// ExactID says that the ID goes out as the caller gave it.
+	// ExactID means that the request ID is sent unchanged, without a random part.
 	ExactID bool
-	// TimeoutHeader carries the time that is left, in milliseconds.
+	// TimeoutHeader names the header with the time until the deadline, in
+	// milliseconds.
 	TimeoutHeader string
-	// IncarnationHeader carries the ID of the endpoint that is meant; empty if
-	// endpoints don't compare it.
+	// IncarnationHeader names the header with the ID of the intended endpoint
+	// (port.Endpoint.ID), which endpoints compare with their own; empty if they
+	// don't.
 	IncarnationHeader string
-	// NotRun says whether an answer states that the request wasn't run.
+	// NotRun reports whether a response states that the request was not run.
 	NotRun func(status int, h http.Header) bool
-	// Check returns why an answer isn't the endpoint's own; nil accepts all.
+	// Check returns an error for a response that must not be accepted. A nil func
+	// accepts all.
 	Check func(status int, h http.Header) error
 }
 
-// ownDialect is spoken by endpoints that announce themselves to entries.
-func ownDialect() Dialect {
+// defaultDialect is the convention of endpoints that announce themselves to entry
+// VMs.
+func defaultDialect() Dialect {
 	return Dialect{IDHeader: HeaderRequestID, TimeoutHeader: HeaderTimeout, NotRun: isShed}
 }
 
-// address adds the headers of the dialect to a request.
-func (d Dialect) address(h http.Header, to port.Endpoint, req *port.Request) {
+// setHeaders adds the dialect's headers to the headers of a request.
+func (d Dialect) setHeaders(h http.Header, to port.Endpoint, req *port.Request) {
 	id := req.ID
 	if !d.ExactID {
 		id = exchangeID(req.ID)
--- a/internal/adapter/endpointhttp/doc.go
+++ b/internal/adapter/endpointhttp/doc.go
@@ -1,13 +1,20 @@
-// Package endpointhttp sends requests to endpoints over HTTP/1.1 (RFC 9112) and
-// tells of every failure whether the request may have run.
+// Package endpointhttp sends requests to endpoints over HTTP/1.1 (RFC 9112). For
+// every failure it decides whether the request may have run on the endpoint
+// (package verdict).
 //
-// Connections are the package's own; net/http only writes requests and parses
-// answers. http.Transport isn't used, because it sends a request again by itself
-// when a reused connection closes without an answer, for idempotent methods and
-// for any that carries an Idempotency-Key header, and doesn't tell. Here a call
-// writes its request at most once.
+// The package manages its own connections; net/http only writes requests and
+// parses responses. http.Transport is not used because it retries without notice
+// when a reused connection closes before a response: idempotent methods, and any
+// request with an Idempotency-Key header. Here, a call writes its request at most
+// once.
 //
 // A connection carries one request at a time. It is closed after a cancellation,
-// a timeout, a fault of the protocol or bytes that nobody asked for, and answers
-// must echo the request's ID, so that no answer reaches another caller.
+// a timeout, a protocol error or unexpected bytes. Responses must echo the ID of
+// the request. Together these rules prevent a response from reaching another
+// caller.
+//
+// Terms: a once-only request is one that must not run twice. An incarnation is one
+// run of an endpoint's process. The verdict NotRun means that the endpoint did not
+// start the request; MayHaveRun means that this is unknown. An endpoint sheds a
+// request when it refuses the request without running it.
 package endpointhttp
--- a/internal/adapter/endpointhttp/errors.go
+++ b/internal/adapter/endpointhttp/errors.go
@@ -11,40 +11,42 @@
 )
 
 var (
-	// ErrWrongID means that an answer didn't echo the request's ID.
-	ErrWrongID = errors.New("answer to another request")
-	// ErrUnframed means that an answer's end can't be told from a failure.
-	ErrUnframed = errors.New("answer without a length")
-	// ErrTooLarge means that an answer is over the service's bound.
-	ErrTooLarge = errors.New("answer too large")
-	// ErrLeftover means that bytes follow the end of an answer.
-	ErrLeftover = errors.New("bytes after the answer")
-	// ErrUnexpectedStatus means that an answer's status makes no sense here.
+	// ErrRequestIDMismatch means that a response didn't echo the request's ID.
+	ErrRequestIDMismatch = errors.New("response doesn't echo the request ID")
+	// ErrUnframed means that the end of a response can't be distinguished from a
+	// broken connection.
+	ErrUnframed = errors.New("response has neither Content-Length nor Transfer-Encoding")
+	// ErrTooLarge means that a response body exceeds the limit of the request.
+	ErrTooLarge = errors.New("response body too large")
+	// ErrTrailingBytes means that bytes follow the end of a response.
+	ErrTrailingBytes = errors.New("unexpected bytes after the response")
+	// ErrUnexpectedStatus means that the endpoint switched protocols or sent too
+	// many interim responses.
 	ErrUnexpectedStatus = errors.New("unexpected status")
 
-	errHeaderTooLarge = errors.New("answer header too large")
-	errBadTarget      = errors.New("bad request target")
+	errHeaderTooLarge = errors.New("response header exceeds the limit")
+	errBadTarget      = errors.New("invalid request target")
 )
 
-// ConnectionReset reports whether a call failed because the endpoint's side of
-// the connection was closed or reset with the request on it, as happens when an
-// endpoint's process dies.
+// ConnectionReset reports whether a call failed because the endpoint's side closed
+// or reset the connection during the request, as happens when the endpoint's
+// process crashes.
 func ConnectionReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) ||
 		errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// notRun is the failure of a request of which nothing was sent.
+// notRun returns the error of a request of which nothing was sent.
 func notRun(ctx context.Context, reason verdict.Reason, err error) error {
 	return verdict.NewError(verdict.NotRun, reasonOf(ctx, reason), cause(ctx, err))
 }
 
-// mayHaveRun is the failure of a request that was sent, wholly or in part.
+// mayHaveRun returns the error of a request that was sent completely or in part.
 func mayHaveRun(ctx context.Context, reason verdict.Reason, err error) error {
-	return verdict.NewError(verdict.MayHaveRun, reasonOf(ctx, reason), cause(ctx, connectionLost(err)))
+	return verdict.NewError(verdict.MayHaveRun, reasonOf(ctx, reason), cause(ctx, wrapConnectionLost(err)))
 }
 
-// reasonOf returns why ctx ended, or else the given reason.
+// reasonOf returns the reason why ctx ended; if it hasn't, the given reason.
 func reasonOf(ctx context.Context, reason verdict.Reason) verdict.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -56,7 +58,8 @@
 	}
 }
 
-// cause names why ctx ended besides err, which then is only its consequence.
+// cause adds the error of ctx, if it has ended, to err, which is then probably a
+// consequence.
 func cause(ctx context.Context, err error) error {
 	if ctx.Err() == nil {
 		return err
--- a/internal/adapter/endpointhttp/exchange.go
+++ b/internal/adapter/endpointhttp/exchange.go
@@ -12,7 +12,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// exchange is one request and its answer on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
 	caller *Caller
 	ctx    context.Context
@@ -20,9 +20,10 @@
 	pool   *pool
 	conn   *conn
 	req    *port.Request
-	// id is what the answer must echo.
+	// id is the request ID that the response must echo.
 	id string
-	// stopWatch ends the watch on ctx; it reports false when ctx ended first.
+	// stopWatch stops watching ctx; it returns false if ctx ended first, and the
+	// connection's deadline may then have been set to the past.
 	stopWatch func() bool
 }
 
@@ -34,13 +35,13 @@
 	return x
 }
 
-// run writes the request and reads its answer.
+// run writes the request and reads its response.
 func (x *exchange) run(out *http.Request, gate port.Gate) (*port.Response, error) {
 	errWrite := x.write(out)
 	if errWrite == nil {
 		gate.Written()
 	}
-	if errWrite != nil && !x.mayBeAnswered() {
+	if errWrite != nil && !x.mayHaveResponse() {
 		return nil, x.fail(verdict.ReasonConnection, errWrite)
 	}
 	in, err := x.readHead(out)
@@ -48,19 +49,19 @@
 		return nil, x.fail(verdict.ReasonConnection, errWrite)
 	}
 	if err != nil {
-		return nil, x.fail(headReason(err), err)
+		return nil, x.fail(classifyHeadError(err), err)
 	}
 	in.close = in.close || errWrite != nil
 	if err := x.check(in); err != nil {
 		return nil, x.fail(verdict.ReasonBadAnswer, err)
 	}
 	if x.caller.opts.Dialect.NotRun(in.status, in.header) {
-		return nil, x.shed(in)
+		return nil, x.finishShed(in)
 	}
 	return x.readBody(in)
 }
 
-// write sends the request. Nothing is sent once ctx has ended.
+// write sends the request. It sends nothing if ctx has already ended.
 func (x *exchange) write(out *http.Request) error {
 	x.conn.written = 0
 	if err := x.ctx.Err(); err != nil {
@@ -72,40 +73,42 @@
 	return x.conn.writer.Flush()
 }
 
-// mayBeAnswered reports whether an answer may be there although the request
-// couldn't be sent whole: an endpoint may answer and close before it has read a
-// large body. It gives the answer a short time to arrive.
-func (x *exchange) mayBeAnswered() bool {
+// mayHaveResponse reports whether to read a response although the request could
+// not be sent completely: an endpoint may respond and close the connection before
+// it has read a large body. It limits the time to read the response to
+// earlyResponseWait.
+func (x *exchange) mayHaveResponse() bool {
 	if x.conn.written == 0 || x.ctx.Err() != nil {
 		return false
 	}
-	return x.conn.SetReadDeadline(time.Now().Add(earlyAnswerWait)) == nil && x.ctx.Err() == nil
+	return x.conn.SetReadDeadline(time.Now().Add(earlyResponseWait)) == nil && x.ctx.Err() == nil
 }
 
-// readHead reads the head of the final answer, past interim ones (RFC 9110,
-// section 15.2).
-func (x *exchange) readHead(out *http.Request) (*answer, error) {
-	x.conn.boundHead()
+// readHead reads the head of the final response and skips interim responses
+// (RFC 9110, section 15.2).
+func (x *exchange) readHead(out *http.Request) (*response, error) {
+	x.conn.limitHead()
 	for range maxInterim {
 		in, err := http.ReadResponse(x.conn.reader, out)
 		if err != nil {
 			return nil, errors.Join(err, x.conn.input.err)
 		}
 		if in.StatusCode >= http.StatusOK {
-			x.conn.unbound()
-			return newAnswer(in), nil
+			x.conn.removeLimit()
+			return newResponse(in), nil
 		}
 		_ = in.Body.Close()
 		if in.StatusCode == http.StatusSwitchingProtocols {
 			return nil, fmt.Errorf("%w: %d", ErrUnexpectedStatus, in.StatusCode)
 		}
 	}
-	return nil, fmt.Errorf("%w: over %d interim answers", ErrUnexpectedStatus, maxInterim)
+	return nil, fmt.Errorf("%w: more than %d interim responses", ErrUnexpectedStatus, maxInterim)
 }
 
-// headReason classes the failure to read an answer's head: a broken connection,
-// or an answer that makes no sense.
-func headReason(err error) verdict.Reason {
+// classifyHeadError classifies a failure to read the head of a response:
+// ReasonConnection for a closed connection or a network error, ReasonBadAnswer for
+// malformed data.
+func classifyHeadError(err error) verdict.Reason {
 	var timeout interface{ Timeout() bool }
 	if ConnectionReset(err) || errors.As(err, &timeout) {
 		return verdict.ReasonConnection
@@ -113,11 +116,12 @@
 	return verdict.ReasonBadAnswer
 }
 
-// check reports why an answer can't be the whole answer to the request.
-func (x *exchange) check(in *answer) error {
+// check returns an error unless the response echoes the request's ID, passes the
+// dialect's check, has a detectable end and declares a length within the limit.
+func (x *exchange) check(in *response) error {
 	ids := in.header[http.CanonicalHeaderKey(x.caller.opts.Dialect.IDHeader)]
 	if len(ids) != 1 || ids[0] != x.id {
-		return fmt.Errorf("%w: %.80q", ErrWrongID, ids)
+		return fmt.Errorf("%w: %.80q", ErrRequestIDMismatch, ids)
 	}
 	if check := x.caller.opts.Dialect.Check; check != nil {
 		if err := check(in.status, in.header); err != nil {
@@ -135,7 +139,7 @@
 
 func (x *exchange) maxBytes() int64 {
 	if x.req.MaxAnswerBytes <= 0 {
-		return x.caller.opts.HoldBytes
+		return x.caller.opts.MaxBufferedBytes
 	}
 	return x.req.MaxAnswerBytes
 }
@@ -145,8 +149,9 @@
 	return status == http.StatusServiceUnavailable && len(values) == 1 && values[0] == shedValue
 }
 
-// shed ends an exchange that the endpoint refused to run.
-func (x *exchange) shed(in *answer) error {
+// finishShed ends the exchange of a request that the endpoint refused to run, and
+// returns the error for it.
+func (x *exchange) finishShed(in *response) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(in.body, maxShedBytes+1))
 	if err != nil || n > maxShedBytes {
 		x.drop()
@@ -156,49 +161,52 @@
 	return verdict.NewError(verdict.NotRun, verdict.ReasonShed, nil)
 }
 
-// finish ends an exchange after a whole answer. The connection is kept unless
-// there is any doubt about it.
-func (x *exchange) finish(in *answer) {
+// finish ends an exchange after a complete response. The connection is kept for
+// reuse unless the endpoint closes it, unread bytes follow the response, or ctx
+// has ended.
+func (x *exchange) finish(in *response) {
 	x.end(!in.close && x.conn.reader.Buffered() == 0, x.caller.opts.Clock.Now())
 }
 
-// unsent ends an exchange of which nothing was written. The connection is as it
-// was.
-func (x *exchange) unsent() { x.end(true, x.conn.proven) }
+// releaseUnsent ends an exchange of which nothing was written. The connection
+// returns to the pool with its previous lastAlive.
+func (x *exchange) releaseUnsent() { x.end(true, x.conn.lastAlive) }
 
-// drop closes the connection and ends the exchange.
+// drop ends the exchange and closes its connection.
 func (x *exchange) drop() { x.end(false, time.Time{}) }
 
-// end ends the exchange. A connection that is kept was last proven at a time.
-func (x *exchange) end(keep bool, proven time.Time) {
+// end ends the exchange. With keep, the connection returns to the pool with the
+// given lastAlive, unless ctx has ended.
+func (x *exchange) end(keep bool, lastAlive time.Time) {
 	watched := x.stopWatch()
 	x.cancel()
 	if keep && watched {
-		x.pool.put(x.conn, proven)
+		x.pool.put(x.conn, lastAlive)
 	} else {
 		_ = x.conn.Close()
 	}
 	x.pool.release()
 }
 
-// leftover reports bytes after the answer's end: its length was wrong, or it
-// came twice.
-func (x *exchange) leftover() error {
+// checkTrailingBytes returns an error if bytes follow the response: its declared
+// length was wrong, or it was sent twice.
+func (x *exchange) checkTrailingBytes() error {
 	if n := x.conn.reader.Buffered(); n > 0 {
-		return fmt.Errorf("%w: %d bytes", ErrLeftover, n)
+		return fmt.Errorf("%w: %d bytes", ErrTrailingBytes, n)
 	}
 	return nil
 }
 
-// fail ends an exchange whose answer isn't whole and returns its error. A
-// connection that was silent until the time was over makes its siblings suspect.
+// fail ends an exchange without a complete response, closes its connection and
+// returns its error. If the deadline passed, it also closes the idle connections
+// of the pool, because the endpoint may be unresponsive on those too.
 func (x *exchange) fail(reason verdict.Reason, err error) error {
 	failure := mayHaveRun(x.ctx, reason, err)
 	if x.conn.written == 0 {
 		failure = notRun(x.ctx, reason, err)
 	}
 	if errors.Is(x.ctx.Err(), context.DeadlineExceeded) {
-		x.pool.distrust(x.caller.opts.Clock.Now())
+		x.pool.markUnresponsive(x.caller.opts.Clock.Now())
 	}
 	x.drop()
 	return failure
--- a/internal/adapter/endpointhttp/header.go
+++ b/internal/adapter/endpointhttp/header.go
@@ -8,11 +8,12 @@
 
 const (
 	// HeaderRequestID carries the ID of the exchange to the endpoint and back: the
-	// request's own ID, a dot and a random part.
+	// ID of the request, a dot and a random part. An ID that isn't printable ASCII
+	// without spaces is left out.
 	HeaderRequestID = "Sassafrasreach-Request-Id"
-	// HeaderTimeout carries the time that is left, in milliseconds.
+	// HeaderTimeout carries the time until the deadline, in milliseconds.
 	HeaderTimeout = "Sassafrasreach-Timeout-Ms"
-	// HeaderShed is "true" on the answer of an endpoint that refuses a request
+	// HeaderShed is "true" in the response of an endpoint that refuses a request
 	// without running it; the status is 503.
 	HeaderShed = "Sassafrasreach-Shed"
 
@@ -20,8 +21,8 @@
 	shedValue    = "true"
 )
 
-// hopByHop lists the fields that belong to one connection (RFC 9110, section
-// 7.6.1), and Expect, which this hop has answered already.
+// hopByHop lists the header fields that apply to a single connection (RFC 9110,
+// section 7.6.1), and Expect, which the entry VM has already handled.
 var hopByHop = []string{
 	"Connection",
 	"Expect",
@@ -35,8 +36,8 @@
 	"Upgrade",
 }
 
-// endToEnd returns a copy of h without the fields of one connection and without
-// the system's own.
+// endToEnd returns a copy of h without the hop-by-hop fields and without the fields
+// that start with headerPrefix.
 func endToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
--- a/internal/adapter/endpointhttp/options.go
+++ b/internal/adapter/endpointhttp/options.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// DefaultHoldBytes is the size up to which an answer's body is held whole.
-	DefaultHoldBytes = 1 << 20
+	// DefaultMaxBufferedBytes is the default of Options.MaxBufferedBytes.
+	DefaultMaxBufferedBytes = 1 << 20
 
-	defaultDialTimeout = time.Second
-	defaultFreshWithin = time.Second
-	defaultIdleTimeout = 10 * time.Second
-	defaultUserTimeout = 2 * time.Second
-	defaultConnections = 16
-	maxHeaderBytes     = 256 << 10
-	maxShedBytes       = 4 << 10
-	maxInterim         = 5
-	earlyAnswerWait    = 50 * time.Millisecond
-	writeBufferBytes   = 16 << 10
-	readBufferBytes    = 4 << 10
+	defaultDialTimeout     = time.Second
+	defaultOnceOnlyMaxIdle = time.Second
+	defaultIdleTimeout     = 10 * time.Second
+	defaultUserTimeout     = 2 * time.Second
+	defaultConnections     = 16
+	maxHeaderBytes         = 256 << 10
+	maxShedBytes           = 4 << 10
+	maxInterim             = 5
+	earlyResponseWait      = 50 * time.Millisecond
+	writeBufferBytes       = 16 << 10
+	readBufferBytes        = 4 << 10
 )
 
 // DialFunc opens a connection; net.Dialer.DialContext is one.
@@ -30,36 +30,37 @@
 
 // Options sets up a Caller. Zero values select defaults.
 type Options struct {
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// FreshWithin is how long after its last answer a connection may carry a
-	// once-only request.
-	FreshWithin time.Duration
-	// IdleTimeout is how long after its last answer a connection may carry any
-	// request.
+	// OnceOnlyMaxIdle is how long after its last response a connection may be
+	// reused for a once-only request.
+	OnceOnlyMaxIdle time.Duration
+	// IdleTimeout is how long after its last response a connection may be reused
+	// for an idempotent request. Sweep closes connections that are idle for longer.
 	IdleTimeout time.Duration
-	// UserTimeout bounds how long sent data may stay unacknowledged, where the
-	// kernel has TCP_USER_TIMEOUT (RFC 5482).
+	// UserTimeout limits how long sent data may stay unacknowledged, on kernels
+	// with TCP_USER_TIMEOUT (RFC 5482).
 	UserTimeout time.Duration
-	// HoldBytes is the size up to which an answer's body is held whole; the
-	// rest of a larger one streams.
-	HoldBytes int64
-	// Clock times idle connections.
+	// MaxBufferedBytes is the size up to which a response body is buffered; the
+	// remainder of a larger body is streamed.
+	MaxBufferedBytes int64
+	// Clock measures how long connections are idle.
 	Clock port.Clock
-	// Dialect is what endpoints speak; zero means the system's own.
+	// Dialect is the header convention of the endpoints. An empty IDHeader selects
+	// the one of endpoints that announce themselves to entry VMs.
 	Dialect Dialect
-	// Dial replaces the package's own dialer.
+	// Dial replaces the default dialer.
 	Dial DialFunc
 }
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.DialTimeout, defaultDialTimeout)
-	setDefault(&o.FreshWithin, defaultFreshWithin)
+	setDefault(&o.OnceOnlyMaxIdle, defaultOnceOnlyMaxIdle)
 	setDefault(&o.IdleTimeout, defaultIdleTimeout)
 	setDefault(&o.UserTimeout, defaultUserTimeout)
-	setDefault(&o.HoldBytes, DefaultHoldBytes)
+	setDefault(&o.MaxBufferedBytes, DefaultMaxBufferedBytes)
 	if o.Dialect.IDHeader == "" {
-		o.Dialect = ownDialect()
+		o.Dialect = defaultDialect()
 	}
 	if o.Clock == nil {
 		o.Clock = port.ClockFunc(time.Now)
@@ -77,7 +78,8 @@
 	}
 }
 
-// newDialer returns a dialer whose connections notice a dead peer soon.
+// newDialer returns a dialer whose connections detect an unreachable peer by
+// keep-alive probes and, where available, by TCP_USER_TIMEOUT.
 func newDialer(userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
--- a/internal/adapter/endpointhttp/pool.go
+++ b/internal/adapter/endpointhttp/pool.go
@@ -12,18 +12,20 @@
 type pool struct {
 	address string
 	limit   int
-	// using has one element for each connection that is in use or being dialed.
-	using chan struct{}
+	// inUse is a semaphore with one element for each connection that is in use or
+	// being dialed.
+	inUse chan struct{}
 
 	mu sync.Mutex
-	// idle holds connections without a request, the last used at the end; must
-	// hold mu.
+	// idle holds the connections without a request, the last returned one at the
+	// end. Guarded by mu.
 	idle []*conn
-	// closed says that the incarnation is gone; must hold mu.
+	// closed means that the incarnation was replaced or forgotten, or that the
+	// Caller was closed. Guarded by mu.
 	closed bool
-	// suspect is when a connection to the endpoint last went silent; connections
-	// not proven since then aren't reused. Must hold mu.
-	suspect time.Time
+	// unresponsiveAt is when a call to the endpoint last exceeded its deadline.
+	// Connections whose lastAlive isn't later are not reused. Guarded by mu.
+	unresponsiveAt time.Time
 }
 
 func newPool(to port.Endpoint) *pool {
@@ -31,35 +33,36 @@
 	if limit <= 0 {
 		limit = defaultConnections
 	}
-	return &pool{address: to.Address, limit: limit, using: make(chan struct{}, limit)}
+	return &pool{address: to.Address, limit: limit, inUse: make(chan struct{}, limit)}
 }
 
-// acquire waits until one more connection may be in use.
+// acquire waits until the limit permits one more connection in use.
 func (p *pool) acquire(ctx context.Context) error {
 	select {
-	case p.using <- struct{}{}:
+	case p.inUse <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// release ends the use that acquire began.
-func (p *pool) release() { <-p.using }
+// release undoes acquire.
+func (p *pool) release() { <-p.inUse }
 
-// reuse returns an idle connection that was proven within maxAge, or nil when a
-// new one is to be opened; there is room for it then. The caller has acquired.
+// reuse returns an idle connection that was last alive within maxAge. It returns
+// nil if there is none, and then ensures that a new connection keeps the pool
+// within its limit. The caller must have called acquire.
 func (p *pool) reuse(now time.Time, maxAge time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
 		c := p.idle[last]
-		if now.Sub(c.proven) > maxAge {
+		if now.Sub(c.lastAlive) > maxAge {
 			break
 		}
 		p.idle = p.idle[:last]
-		if c.proven.After(p.suspect) && quiet(c.Conn) {
+		if c.lastAlive.After(p.unresponsiveAt) && openWithoutInput(c.Conn) {
 			return c
 		}
 		_ = c.Close()
@@ -68,36 +71,36 @@
 	return nil
 }
 
-// makeRoom closes the oldest idle connection when idle ones and those in use
-// would be more than the limit. Must hold mu.
+// makeRoom closes the idle connection that was returned first if the connections
+// idle and in use exceed the limit. The caller must hold mu.
 func (p *pool) makeRoom() {
-	if len(p.idle) > 0 && len(p.idle)+len(p.using) > p.limit {
+	if len(p.idle) > 0 && len(p.idle)+len(p.inUse) > p.limit {
 		_ = p.idle[0].Close()
 		p.idle = p.idle[1:]
 	}
 }
 
-// put makes a connection idle after a whole answer.
-func (p *pool) put(c *conn, now time.Time) {
+// put returns a connection to the pool, with the time when it was last alive.
+func (p *pool) put(c *conn, lastAlive time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		_ = c.Close()
 		return
 	}
-	c.proven = now
+	c.lastAlive = lastAlive
 	p.idle = append(p.idle, c)
 }
 
-// distrust closes all idle connections, because one in use went silent.
-func (p *pool) distrust(now time.Time) {
+// markUnresponsive closes the idle connections after a call exceeded its deadline.
+func (p *pool) markUnresponsive(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.suspect = now
+	p.unresponsiveAt = now
 	p.closeIdle(now)
 }
 
-// close closes the idle connections and lets none become idle again.
+// close closes the idle connections; from then on, put closes connections too.
 func (p *pool) close(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,21 +108,21 @@
 	p.closeIdle(now)
 }
 
-// sweep closes the connections that were proven before oldest, and reports
+// sweep closes the idle connections whose lastAlive isn't after oldest, and reports
 // whether the pool is unused.
 func (p *pool) sweep(oldest time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdle(oldest)
-	return len(p.idle) == 0 && len(p.using) == 0
+	return len(p.idle) == 0 && len(p.inUse) == 0
 }
 
-// closeIdle closes idle connections that weren't proven after the given time.
-// Must hold mu.
+// closeIdle closes the idle connections whose lastAlive isn't after the given time.
+// The caller must hold mu.
 func (p *pool) closeIdle(after time.Time) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if c.proven.After(after) {
+		if c.lastAlive.After(after) {
 			kept = append(kept, c)
 			continue
 		}
--- a/internal/adapter/endpointhttp/probe.go
+++ b/internal/adapter/endpointhttp/probe.go
@@ -10,12 +10,13 @@
 	"sassafrasreach/internal/port"
 )
 
-// probeWait is how long a probed connection must stay open.
+// probeWait is how long a connection must stay open for a probe to succeed.
 const probeWait = 50 * time.Millisecond
 
 // Probe opens a new connection to the endpoint and closes it. Its error wraps
-// port.ErrConnectionRefused when nothing listens there, also when something on
-// the way accepts the connection and closes it at once.
+// port.ErrConnectionRefused if nothing listens at the address. A connection that is
+// closed within probeWait counts as refused too, because an intermediary may accept
+// connections for an endpoint that doesn't listen.
 func (c *Caller) Probe(ctx context.Context, to port.Endpoint) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.DialTimeout)
 	defer cancel()
@@ -37,8 +38,9 @@
 	return nil
 }
 
-// connectionLost marks an error of a connection that the endpoint's side ended.
-func connectionLost(err error) error {
+// wrapConnectionLost wraps port.ErrConnectionLost if the endpoint's side closed or
+// reset the connection; it returns other errors unchanged.
+func wrapConnectionLost(err error) error {
 	if !ConnectionReset(err) {
 		return err
 	}
--- a/internal/adapter/endpointhttp/quiet_other.go
+++ b/internal/adapter/endpointhttp/quiet_other.go
@@ -4,6 +4,6 @@
 
 import "net"
 
-// quiet reports false where an idle connection can't be looked at without
-// blocking, so that none is reused.
-func quiet(net.Conn) bool { return false }
+// openWithoutInput returns false on systems where an idle connection can't be
+// checked without blocking. No connection is reused there.
+func openWithoutInput(net.Conn) bool { return false }
--- a/internal/adapter/endpointhttp/quiet_unix.go
+++ b/internal/adapter/endpointhttp/quiet_unix.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet reports whether an idle connection is open and has no byte to read. It
-// doesn't block.
-func quiet(c net.Conn) bool {
+// openWithoutInput reports whether an idle connection is open and has no bytes to
+// read. It doesn't block.
+func openWithoutInput(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/adapter/endpointhttp/reuse_test.go
+++ b/internal/adapter/endpointhttp/reuse_test.go
@@ -21,14 +21,16 @@
 	"sassafrasreach/internal/testlink"
 )
 
-// closeSecond answers the first request and closes on the second.
+// closeSecond responds to all requests but the second one, on which it closes the
+// connection.
 func closeSecond(c *net.TCPConn, n int64, r *http.Request) bool {
-	return n != 2 && whole(c, n, r)
+	return n != 2 && echoBody(c, n, r)
 }
 
-// TestNoHiddenReplay shows that http.Transport sends a request twice when a
-// reused connection closes without an answer, and that a Caller doesn't.
-func TestNoHiddenReplay(t *testing.T) {
+// TestNoTransparentRetry guards against a request running twice. It shows that
+// http.Transport retries certain requests when a reused connection closes before
+// the response, and that a Caller doesn't.
+func TestNoTransparentRetry(t *testing.T) {
 	cases := []struct {
 		name, method, header string
 		transport            int64
@@ -56,9 +58,9 @@
 			e = newEndpoint(t, closeSecond)
 			caller := newCaller(t, endpointhttp.Options{})
 			for n := range 2 {
-				req := filing("r1", "", long)
+				req := onceOnlyRequest("r1", "", long)
 				req.Method, req.OnceOnly, req.Header = c.method, c.method == "POST", http.Header{c.header: {"k"}}
-				_, err := caller.Call(context.Background(), at(e.addr), req, nil)
+				_, err := caller.Call(context.Background(), endpointAt(e.addr), req, nil)
 				is.Equal(verdict.Of(err), []verdict.Verdict{verdict.Ran, verdict.MayHaveRun}[n])
 			}
 			is.Equal(e.runs.Load(), int64(2))
@@ -66,10 +68,12 @@
 	}
 }
 
-// TestLateAnswers lets answers arrive after their call ended, or twice.
-func TestLateAnswers(t *testing.T) {
+// TestLateAndDuplicateResponses guards against a call receiving the response of an
+// earlier call on the same connection, when that response arrives after its
+// deadline or twice.
+func TestLateAndDuplicateResponses(t *testing.T) {
 	var first string
-	answer := func(c *net.TCPConn, id, body string) {
+	respond := func(c *net.TCPConn, id, body string) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", endpointhttp.HeaderRequestID, id, len(body), body)
 	}
 	cases := []struct {
@@ -83,20 +87,20 @@
 			if n == 1 {
 				time.Sleep(2 * short)
 			}
-			return whole(c, n, r)
+			return echoBody(c, n, r)
 		}, short, verdict.Ran, 2},
-		{"again while idle", func(c *net.TCPConn, n int64, r *http.Request) bool {
-			ok := whole(c, n, r)
+		{"twice, on the idle connection", func(c *net.TCPConn, n int64, r *http.Request) bool {
+			ok := echoBody(c, n, r)
 			time.Sleep(short / 4)
-			answer(c, "r1", "first")
+			respond(c, "r1", "first")
 			return ok
 		}, long, verdict.Ran, 2},
-		{"again in place of the next, whose caller chose the same ID", func(c *net.TCPConn, n int64, r *http.Request) bool {
+		{"twice, in place of the response to the next call, which has the same ID", func(c *net.TCPConn, n int64, r *http.Request) bool {
 			if n == 1 {
 				first = r.Header.Get(endpointhttp.HeaderRequestID)
-				return whole(c, n, r)
+				return echoBody(c, n, r)
 			}
-			answer(c, first, "first")
+			respond(c, first, "first")
 			return true
 		}, long, verdict.MayHaveRun, 1},
 	}
@@ -106,9 +110,9 @@
 			e := newEndpoint(t, c.script)
 			link := e.link(t)
 			caller := newCaller(t, endpointhttp.Options{})
-			_, _ = caller.Call(context.Background(), at(link.Addr()), filing("r1", "first", c.within), nil)
+			_, _ = caller.Call(context.Background(), endpointAt(link.Addr()), onceOnlyRequest("r1", "first", c.within), nil)
 			time.Sleep(short)
-			got, err := caller.Call(context.Background(), at(link.Addr()), filing("r1", "second", long), nil)
+			got, err := caller.Call(context.Background(), endpointAt(link.Addr()), onceOnlyRequest("r1", "second", long), nil)
 			is.Equal(verdict.Of(err), c.second)
 			if err == nil {
 				is.Equal(string(got.Body), "second")
@@ -118,15 +122,17 @@
 	}
 }
 
-// TestOwnAnswerOnly lets many callers share few connections, some giving up.
-func TestOwnAnswerOnly(t *testing.T) {
+// TestResponsesReachTheirCaller guards against responses that reach another caller.
+// Many callers share few connections, and every third one has a deadline of a few
+// milliseconds.
+func TestResponsesReachTheirCaller(t *testing.T) {
 	is := is.New(t)
 	e := newEndpoint(t, func(c *net.TCPConn, n int64, r *http.Request) bool {
 		time.Sleep(time.Duration(n%5) * time.Millisecond)
-		return whole(c, n, r)
+		return echoBody(c, n, r)
 	})
 	caller := newCaller(t, endpointhttp.Options{})
-	to := at(e.addr)
+	to := endpointAt(e.addr)
 	var all sync.WaitGroup
 	wrong := make(chan string, 400)
 	for n := range 400 {
@@ -136,7 +142,7 @@
 				within = time.Duration(n%7) * time.Millisecond
 			}
 			id := fmt.Sprint("r", n)
-			got, err := caller.Call(context.Background(), to, filing(id, id, within), nil)
+			got, err := caller.Call(context.Background(), to, onceOnlyRequest(id, id, within), nil)
 			if err == nil && string(got.Body) != id || err != nil && within == long {
 				wrong <- fmt.Sprint(id, got, err)
 			}
@@ -151,7 +157,8 @@
 	return func(err error) bool { return errors.Is(err, target) }
 }
 
-// TestStreaming shows that an answer over the bound is whole or an error.
+// TestStreaming guards against a truncated response that looks complete: a body
+// larger than the buffer must be delivered completely or end with an error.
 func TestStreaming(t *testing.T) {
 	body := strings.Repeat("0123456789", 300_000)
 	cases := []struct {
@@ -160,26 +167,26 @@
 		max   int64
 		want  func(error) bool
 	}{
-		{"whole", nil, 4 << 20, nil},
+		{"complete", nil, 4 << 20, nil},
 		{"reset", fault(testlink.Reset, testlink.ToDialer, 2<<20), 4 << 20, endpointhttp.ConnectionReset},
 		{"silent", fault(testlink.Silence, testlink.ToDialer, 2<<20), 4 << 20, matches(context.DeadlineExceeded)},
-		{"over the service's bound", nil, 2 << 20, matches(endpointhttp.ErrTooLarge)},
+		{"over the service's limit", nil, 2 << 20, matches(endpointhttp.ErrTooLarge)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			e := newEndpoint(t, func(c *net.TCPConn, n int64, r *http.Request) bool {
-				return say("200 OK\r\n%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)(c, n, r)
+				return respondWith("200 OK\r\n%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)(c, n, r)
 			})
 			link := e.link(t)
 			if c.fault != nil {
 				link.FailNext(*c.fault)
 			}
-			req := filing("r1", "", 10*short)
+			req := onceOnlyRequest("r1", "", 10*short)
 			req.MaxAnswerBytes = c.max
-			got, err := newCaller(t, endpointhttp.Options{}).Call(context.Background(), at(link.Addr()), req, nil)
+			got, err := newCaller(t, endpointhttp.Options{}).Call(context.Background(), endpointAt(link.Addr()), req, nil)
 			var rest []byte
-			if err == nil { // a reset may overtake the bytes before it
+			if err == nil { // a reset may discard bytes that were sent before it
 				rest, err = io.ReadAll(got.Rest)
 			}
 			is.Equal(err == nil, c.want == nil)
@@ -193,12 +200,14 @@
 	}
 }
 
-// TestSilentConnections counts the once-only requests that end MayHaveRun after
-// established connections went silent: over http.Transport, and over a Caller
-// whose connections last answered some time before.
+// TestSilentConnections guards against many failed once-only requests when a
+// middlebox silently drops the packets of established connections. It counts the
+// failed requests over http.Transport, and over a Caller whose connections last
+// delivered a response some time ago: at most one request may fail, and none once
+// the connections are older than OnceOnlyMaxIdle.
 func TestSilentConnections(t *testing.T) {
 	const pooled, requests = 4, 8
-	e := newEndpoint(t, whole)
+	e := newEndpoint(t, echoBody)
 	warm := func(call func(within time.Duration) bool) {
 		var all sync.WaitGroup
 		for range pooled {
@@ -206,7 +215,7 @@
 		}
 		all.Wait()
 	}
-	lostOf := func(link *testlink.Link, call func(within time.Duration) bool) (lost int) {
+	countLost := func(link *testlink.Link, call func(within time.Duration) bool) (lost int) {
 		link.Swallow(testlink.Both)
 		for range requests {
 			if !call(short) {
@@ -230,7 +239,7 @@
 	}
 	warm(plain)
 	opened := link.Accepted()
-	t.Logf("plain pool: %d of %d lost", lostOf(link, plain), requests)
+	t.Logf("http.Transport: %d of %d lost", countLost(link, plain), requests)
 	is.New(t).True(opened <= pooled)
 
 	for _, c := range []struct {
@@ -243,12 +252,12 @@
 			now := time.Now()
 			caller := newCaller(t, endpointhttp.Options{Clock: port.ClockFunc(func() time.Time { return now })})
 			call := func(within time.Duration) bool {
-				_, err := caller.Call(context.Background(), at(link.Addr()), filing("r1", "b", within), nil)
+				_, err := caller.Call(context.Background(), endpointAt(link.Addr()), onceOnlyRequest("r1", "b", within), nil)
 				return err == nil
 			}
 			warm(call)
 			now = now.Add(c.age)
-			lost := lostOf(link, call)
+			lost := countLost(link, call)
 			t.Logf("%d of %d lost", lost, requests)
 			is.Equal(lost, c.lost)
 		})
--- a/internal/adapter/endpointhttp/rig_test.go
+++ b/internal/adapter/endpointhttp/rig_test.go
@@ -17,11 +17,12 @@
 	"sassafrasreach/internal/testlink"
 )
 
-// endpoint is a raw HTTP endpoint that counts the requests that it runs.
+// endpoint is an HTTP endpoint on a raw socket that counts the requests that it
+// runs: all whose head it received, except those with a Test-Shed header.
 type endpoint struct {
 	addr string
 	runs atomic.Int64
-	// script answers the nth request, from 1, of all connections; returning
+	// script responds to the nth request, from 1, over all connections; returning
 	// false closes the connection.
 	script script
 }
@@ -64,8 +65,8 @@
 	}
 }
 
-// whole reads the request's body and answers with an echo of it.
-func whole(c *net.TCPConn, _ int64, r *http.Request) bool {
+// echoBody reads the request's body and returns it in the response.
+func echoBody(c *net.TCPConn, _ int64, r *http.Request) bool {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return false
@@ -75,9 +76,10 @@
 	return err == nil
 }
 
-// say answers with text, in which ID stands for the request's ID, and keeps the
-// connection open.
-func say(text string, args ...any) script {
+// respondWith responds with text after the HTTP version and keeps the connection
+// open. The first verb in text is replaced by the header line with the request's
+// ID, the others by args.
+func respondWith(text string, args ...any) script {
 	return func(c *net.TCPConn, _ int64, r *http.Request) bool {
 		_, _ = io.Copy(io.Discard, r.Body)
 		id := endpointhttp.HeaderRequestID + ": " + r.Header.Get(endpointhttp.HeaderRequestID) + "\r\n"
@@ -99,10 +101,12 @@
 	return caller
 }
 
-func at(addr string) port.Endpoint { return port.Endpoint{ID: "w", Address: addr, Connections: 8} }
+func endpointAt(addr string) port.Endpoint {
+	return port.Endpoint{ID: "w", Address: addr, Connections: 8}
+}
 
-// filing is a once-only request that may take d.
-func filing(id, body string, d time.Duration) *port.Request {
+// onceOnlyRequest returns a once-only request with a deadline in d.
+func onceOnlyRequest(id, body string, d time.Duration) *port.Request {
 	return &port.Request{
 		ID: id, Method: http.MethodPost, Target: "/file?x=1", OnceOnly: true,
 		Body: []byte(body), Deadline: time.Now().Add(d), MaxAnswerBytes: 4 << 20,
--- a/internal/adapter/endpointhttp/sockopt_other.go
+++ b/internal/adapter/endpointhttp/sockopt_other.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// setUserTimeout does nothing on systems without TCP_USER_TIMEOUT.
+// setUserTimeout returns nil, for net.Dialer.Control, on systems without
+// TCP_USER_TIMEOUT.
 func setUserTimeout(time.Duration) func(network, address string, c syscall.RawConn) error {
 	return nil
 }
