--- a/internal/adapter/callerhttp/doc.go
+++ b/internal/adapter/callerhttp/doc.go
@@ -1,11 +1,16 @@
-// Package callerhttp is the HTTP interface of an entry: look-ups and requests
-// of callers, and announcements of endpoints.
+// Package callerhttp is the HTTP interface of an entry VM to callers and endpoints.
+// It parses and validates requests, leaves the decision to port.Entry, and maps
+// errors to statuses.
 //
-//	GET /v1/lookup?service=S[&place=P]   which entries to use
-//	PUT /v1/endpoints/{id}               an endpoint reports itself
-//	*   /s/{service}/...                 a request for an endpoint
+//	GET /v1/lookup?service=S[&place=P]   which entry VMs to use
+//	PUT /v1/endpoints/{id}               announcement of an endpoint
+//	*   /s/{service}/...                 request for an endpoint
 //	GET /healthz, /readyz                liveness and readiness
 //	GET /v1/metrics                      metrics as JSON
 //
-// Every failure is a problem document (RFC 9457) that carries the verdict.
+// Failures of the first three are problem documents (RFC 9457) with a verdict,
+// which states whether the request may have run on an endpoint. Unknown paths and
+// methods get the plain errors of the router. A once-only
+// request is one that must not run twice; it carries a key, and the entry VM named
+// in the key (its home) knows the outcome of its earlier attempts.
 package callerhttp
--- a/internal/adapter/callerhttp/handler.go
+++ b/internal/adapter/callerhttp/handler.go
@@ -13,21 +13,21 @@
 	"sassafrasreach/internal/port"
 )
 
-// maxAnnouncementBytes bounds the body of an announcement.
+// maxAnnouncementBytes limits the body of an announcement.
 const maxAnnouncementBytes = 16 << 10
 
 // Options configure the handler.
 type Options struct {
-	// Entry decides.
+	// Entry handles look-ups, requests and announcements.
 	Entry port.Entry
-	// Name is the entry's name, for HeaderEntry.
+	// Name is the name of the entry VM, sent in HeaderEntry.
 	Name string
-	// Clock gives the time.
+	// Clock is used to compute deadlines.
 	Clock port.Clock
-	// Metrics serves GET /v1/metrics; nil leaves the route out.
+	// Metrics serves GET /v1/metrics; nil omits the route.
 	Metrics http.Handler
-	// Stopping says whether a planned stop has begun; then each answer closes
-	// its connection. Nil means never.
+	// Stopping reports whether a graceful shutdown has begun. From then on, each
+	// connection is closed after its next response. Nil means never.
 	Stopping func() bool
 }
 
@@ -37,7 +37,7 @@
 	clock port.Clock
 }
 
-// New returns the handler of the callers' interface.
+// New returns the handler of all routes of the package.
 func New(opts Options) http.Handler {
 	h := &handler{entry: opts.Entry, name: opts.Name, clock: opts.Clock}
 	r := chi.NewRouter()
@@ -47,12 +47,13 @@
 	r.HandleFunc("/s/{service}", h.serve)
 	r.HandleFunc("/s/{service}/*", h.serve)
 	if opts.Stopping != nil {
-		return closeWhen(opts.Stopping, r)
+		return closeConnectionsWhen(opts.Stopping, r)
 	}
 	return r
 }
 
-// NewHealth returns the handler of a listener for health and metrics alone.
+// NewHealth returns a handler that serves only health checks and metrics. Nil
+// metrics omits their route.
 func NewHealth(entry port.Entry, metrics http.Handler) http.Handler {
 	h := &handler{entry: entry}
 	r := chi.NewRouter()
@@ -68,9 +69,9 @@
 	}
 }
 
-// closeWhen closes callers' connections after their next answer once stopping
-// says so, so that none is closed under a request.
-func closeWhen(stopping func() bool, next http.Handler) http.Handler {
+// closeConnectionsWhen closes each connection after its next response once stopping
+// returns true, so that no connection has to be closed during a request.
+func closeConnectionsWhen(stopping func() bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if stopping() {
 			w.Header().Set("Connection", "close")
@@ -99,12 +100,12 @@
 		Place:   query.Get("place"),
 		Client:  clientAddr(r),
 	}
-	answer, err := h.entry.Lookup(q)
+	result, err := h.entry.Lookup(q)
 	if err != nil {
 		writeProblem(w, err)
 		return
 	}
-	writeJSON(w, answer)
+	writeJSON(w, result)
 }
 
 func (h *handler) announce(w http.ResponseWriter, r *http.Request) {
@@ -117,24 +118,24 @@
 		return
 	}
 	if id := chi.URLParam(r, "id"); a.ID != id {
-		writeProblem(w, badRequest(fmt.Errorf("id %q in the body, %q in the path", a.ID, id)))
+		writeProblem(w, badRequest(fmt.Errorf("endpoint ID is %q in the body but %q in the path", a.ID, id)))
 		return
 	}
-	answer, err := h.entry.Announce(r.Context(), a)
+	result, err := h.entry.Announce(r.Context(), a)
 	if err != nil {
 		writeProblem(w, err)
 		return
 	}
-	writeJSON(w, answer)
+	writeJSON(w, result)
 }
 
-// badRequest returns the error of a request that can't be understood.
+// badRequest returns the error of a malformed request.
 func badRequest(cause error) error {
 	return verdict.NewError(verdict.NotRun, verdict.ReasonBadRequest, cause)
 }
 
-// clientAddr returns the address of the caller's connection; the zero value
-// when it can't be told.
+// clientAddr returns the remote address of the connection, or the zero value if it
+// isn't an IP address with a port.
 func clientAddr(r *http.Request) netip.Addr {
 	ap, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
@@ -146,14 +147,15 @@
 func writeJSON(w http.ResponseWriter, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		writeProblem(w, fmt.Errorf("encode answer: %w", err))
+		writeProblem(w, fmt.Errorf("encode response: %w", err))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(body)
 }
 
-// isTooLarge says whether err comes from http.MaxBytesReader.
+// isTooLarge reports whether err is the error of http.MaxBytesReader for a body
+// over its limit.
 func isTooLarge(err error) bool {
 	var tooLarge *http.MaxBytesError
 	return errors.As(err, &tooLarge)
--- a/internal/adapter/callerhttp/handler_test.go
+++ b/internal/adapter/callerhttp/handler_test.go
@@ -20,9 +20,9 @@
 	"sassafrasreach/internal/port"
 )
 
-const goodKey = "north-a-1.1f.693158f0.filing-7"
+const validKey = "north-a-1.1f.693158f0.filing-7"
 
-// fakeEntry records what reaches it.
+// fakeEntry is a port.Entry with fixed results that records the requests it serves.
 type fakeEntry struct {
 	served   *port.Request
 	left     time.Duration
@@ -85,12 +85,12 @@
 	return server
 }
 
-type sent struct {
+type testRequest struct {
 	method, path, body string
 	header             map[string]string
 }
 
-func do(t *testing.T, server *httptest.Server, r sent) (*http.Response, string) {
+func do(t *testing.T, server *httptest.Server, r testRequest) (*http.Response, string) {
 	t.Helper()
 	request, err := http.NewRequest(r.method, server.URL+r.path, strings.NewReader(r.body))
 	if err != nil {
@@ -111,32 +111,32 @@
 	return response, string(body)
 }
 
-// TestRefusals is the contract for bad input: a problem document with a
-// verdict, and nothing reaches an endpoint.
-func TestRefusals(t *testing.T) {
+// TestRejectedRequests guards against an invalid request being rejected without a
+// problem document or with a wrong verdict.
+func TestRejectedRequests(t *testing.T) {
 	timeout := func(v string) map[string]string { return map[string]string{"Sassafrasreach-Timeout-Ms": v} }
-	keyed := map[string]string{"Sassafrasreach-Key": goodKey}
+	keyed := map[string]string{"Sassafrasreach-Key": validKey}
 	cases := []struct {
 		name    string
-		send    sent
+		send    testRequest
 		status  int
 		reason  verdict.Reason
 		verdict string
 	}{
-		{"unknown service", sent{"GET", "/s/other/x", "", nil}, 404, verdict.ReasonUnknownService, "not-run"},
-		{"unknown service, with key", sent{"POST", "/s/other/x", "", keyed}, 404, verdict.ReasonUnknownService, "may-have-run"},
-		{"unknown service of look-up", sent{"GET", "/v1/lookup?service=other", "", nil}, 404, verdict.ReasonUnknownService, "not-run"},
-		{"unknown place", sent{"GET", "/s/desk/x", "", map[string]string{"Sassafrasreach-Place": "nowhere"}}, 404, verdict.ReasonUnknownPlace, "not-run"},
-		{"deadline past", sent{"GET", "/s/desk/x", "", timeout("0")}, 504, verdict.ReasonDeadline, "not-run"},
-		{"deadline negative", sent{"GET", "/s/desk/x", "", timeout("-5")}, 504, verdict.ReasonDeadline, "not-run"},
-		{"deadline no number", sent{"GET", "/s/desk/x", "", timeout("soon")}, 400, verdict.ReasonBadRequest, "not-run"},
-		{"deadline out of range", sent{"GET", "/s/desk/x", "", timeout("99999999999")}, 400, verdict.ReasonBadRequest, "not-run"},
-		{"once-only without key", sent{"POST", "/s/desk/x", "a", nil}, 428, verdict.ReasonNoKey, "not-run"},
-		{"body too large", sent{"GET", "/s/desk/x", "123456789", nil}, 413, verdict.ReasonTooLarge, "not-run"},
-		{"body too large, with key", sent{"POST", "/s/desk/x", "123456789", keyed}, 413, verdict.ReasonTooLarge, "may-have-run"},
-		{"announcement no JSON", sent{"PUT", "/v1/endpoints/e1", "{", nil}, 400, verdict.ReasonBadRequest, "not-run"},
-		{"announcement unknown field", sent{"PUT", "/v1/endpoints/e1", `{"id":"e1","x":1}`, nil}, 400, verdict.ReasonBadRequest, "not-run"},
-		{"announcement of another", sent{"PUT", "/v1/endpoints/e1", `{"id":"e2"}`, nil}, 400, verdict.ReasonBadRequest, "not-run"},
+		{"unknown service", testRequest{"GET", "/s/other/x", "", nil}, 404, verdict.ReasonUnknownService, "not-run"},
+		{"unknown service, with key", testRequest{"POST", "/s/other/x", "", keyed}, 404, verdict.ReasonUnknownService, "may-have-run"},
+		{"look-up of an unknown service", testRequest{"GET", "/v1/lookup?service=other", "", nil}, 404, verdict.ReasonUnknownService, "not-run"},
+		{"unknown place", testRequest{"GET", "/s/desk/x", "", map[string]string{"Sassafrasreach-Place": "nowhere"}}, 404, verdict.ReasonUnknownPlace, "not-run"},
+		{"timeout zero", testRequest{"GET", "/s/desk/x", "", timeout("0")}, 504, verdict.ReasonDeadline, "not-run"},
+		{"timeout negative", testRequest{"GET", "/s/desk/x", "", timeout("-5")}, 504, verdict.ReasonDeadline, "not-run"},
+		{"timeout not a number", testRequest{"GET", "/s/desk/x", "", timeout("soon")}, 400, verdict.ReasonBadRequest, "not-run"},
+		{"timeout out of range", testRequest{"GET", "/s/desk/x", "", timeout("99999999999")}, 400, verdict.ReasonBadRequest, "not-run"},
+		{"once-only without key", testRequest{"POST", "/s/desk/x", "a", nil}, 428, verdict.ReasonNoKey, "not-run"},
+		{"body too large", testRequest{"GET", "/s/desk/x", "123456789", nil}, 413, verdict.ReasonTooLarge, "not-run"},
+		{"body too large, with key", testRequest{"POST", "/s/desk/x", "123456789", keyed}, 413, verdict.ReasonTooLarge, "may-have-run"},
+		{"announcement not JSON", testRequest{"PUT", "/v1/endpoints/e1", "{", nil}, 400, verdict.ReasonBadRequest, "not-run"},
+		{"announcement with an unknown field", testRequest{"PUT", "/v1/endpoints/e1", `{"id":"e1","x":1}`, nil}, 400, verdict.ReasonBadRequest, "not-run"},
+		{"announcement with another ID", testRequest{"PUT", "/v1/endpoints/e1", `{"id":"e2"}`, nil}, 400, verdict.ReasonBadRequest, "not-run"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -154,8 +154,9 @@
 	}
 }
 
-// TestReasonsHaveStatus wants each failure of an entry told with its verdict.
-func TestReasonsHaveStatus(t *testing.T) {
+// TestErrorStatus guards against an error being reported with a wrong status or
+// without its verdict.
+func TestErrorStatus(t *testing.T) {
 	cases := []struct {
 		reason verdict.Reason
 		v      verdict.Verdict
@@ -173,25 +174,25 @@
 		t.Run(string(c.reason), func(t *testing.T) {
 			is := is.New(t)
 			err := fmt.Errorf("place: %w", verdict.NewError(c.v, c.reason, nil))
-			response, _ := do(t, newServer(t, &fakeEntry{err: err}), sent{"GET", "/s/desk/x", "", nil})
+			response, _ := do(t, newServer(t, &fakeEntry{err: err}), testRequest{"GET", "/s/desk/x", "", nil})
 			is.Equal(response.StatusCode, c.status)
 			is.Equal(response.Header.Get("Sassafrasreach-Verdict"), c.v.String())
 		})
 	}
 	is := is.New(t)
-	response, _ := do(t, newServer(t, &fakeEntry{err: errors.New("lost")}), sent{"GET", "/s/desk/x", "", nil})
+	response, _ := do(t, newServer(t, &fakeEntry{err: errors.New("lost")}), testRequest{"GET", "/s/desk/x", "", nil})
 	is.Equal(response.StatusCode, 500)
-	is.Equal(response.Header.Get("Sassafrasreach-Verdict"), "may-have-run") // no verdict is no proof
+	is.Equal(response.Header.Get("Sassafrasreach-Verdict"), "may-have-run") // without a verdict, it is unknown whether the request ran
 }
 
-// TestServe wants the request whole at the entry and the answer whole at the
-// caller, without the fields of the connections.
+// TestServe guards against requests and responses that are altered on their way to
+// the entry and back, and against forwarded hop-by-hop headers.
 func TestServe(t *testing.T) {
 	is := is.New(t)
 	header := http.Header{"X-Answer": {"1"}, "Sassafrasreach-Verdict": {"not-run"}}
 	f := &fakeEntry{response: &port.Response{Status: 201, Header: header, Body: []byte("done")}}
-	response, body := do(t, newServer(t, f), sent{"POST", "/s/desk/a%2Fb?q=1", "body", map[string]string{
-		"Sassafrasreach-Key":        goodKey,
+	response, body := do(t, newServer(t, f), testRequest{"POST", "/s/desk/a%2Fb?q=1", "body", map[string]string{
+		"Sassafrasreach-Key":        validKey,
 		"Sassafrasreach-Timeout-Ms": "30000",
 		"Idempotency-Key":           "caller's own",
 		"Connection":                "X-Hop",
@@ -199,34 +200,35 @@
 	}})
 	is.Equal(response.StatusCode, 201)
 	is.Equal(body, "done")
-	is.Equal(response.Header.Get("Sassafrasreach-Verdict"), "ran") // an endpoint can't forge it
+	is.Equal(response.Header.Get("Sassafrasreach-Verdict"), "ran") // the endpoint's own value is overwritten
 	is.Equal(response.Header.Get("X-Answer"), "1")
 	is.Equal(f.served.Target, "/a%2Fb?q=1")
 	is.Equal(string(f.served.Body), "body")
-	is.Equal(f.served.Key, goodKey)
+	is.Equal(f.served.Key, validKey)
 	is.Equal(f.served.Header.Get("Idempotency-Key"), "caller's own")
 	is.Equal(f.served.Header.Get("X-Hop"), "")
 	is.Equal(f.served.Header.Get("Sassafrasreach-Key"), "")
-	is.True(f.left > 20*time.Second && f.left <= 30*time.Second) // the remaining time is the request's deadline
+	is.True(f.left > 20*time.Second && f.left <= 30*time.Second) // the context has the deadline of the request
 }
 
-// TestDefaultDeadline wants the service's own without a caller's.
+// TestDefaultDeadline guards against a request without a timeout header that gets
+// another deadline than the service's default.
 func TestDefaultDeadline(t *testing.T) {
 	is := is.New(t)
 	f := &fakeEntry{response: &port.Response{Status: 200}}
-	do(t, newServer(t, f), sent{"GET", "/s/desk", "", nil})
+	do(t, newServer(t, f), testRequest{"GET", "/s/desk", "", nil})
 	is.True(f.left > 54*time.Second && f.left <= time.Minute)
 	is.Equal(f.served.Target, "/")
 }
 
-// failingBody ends with an error after its text.
+// failingBody is a streamed body that its Reader ends with an error.
 type failingBody struct{ io.Reader }
 
 func (failingBody) Close() error { return nil }
 
-// TestTruncatedStream wants the caller's connection aborted, so that a large
-// answer that breaks can't look whole.
-func TestTruncatedStream(t *testing.T) {
+// TestTruncatedResponse guards against a truncated response that looks complete:
+// when a streamed body fails, the caller's connection must be aborted.
+func TestTruncatedResponse(t *testing.T) {
 	is := is.New(t)
 	rest := failingBody{io.MultiReader(strings.NewReader("more"), errorReader{})}
 	f := &fakeEntry{response: &port.Response{Status: 200, Body: []byte("first"), Rest: rest}}
@@ -243,20 +245,21 @@
 
 func (errorReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// TestStoppingClosesConnections wants no idle connection left to be cut.
+// TestStoppingClosesConnections guards against connections that stay open during a
+// shutdown and are then closed while a request is on its way.
 func TestStoppingClosesConnections(t *testing.T) {
 	is := is.New(t)
 	f := &fakeEntry{response: &port.Response{Status: 200}, stopping: true}
-	response, _ := do(t, newServer(t, f), sent{"GET", "/s/desk/x", "", nil})
+	response, _ := do(t, newServer(t, f), testRequest{"GET", "/s/desk/x", "", nil})
 	is.True(response.Close)
 }
 
-// TestHealth tells liveness from readiness.
+// TestHealth guards against a process that isn't ready being reported as not alive.
 func TestHealth(t *testing.T) {
 	is := is.New(t)
 	server := newServer(t, &fakeEntry{err: errors.New("not ready")})
-	live, _ := do(t, server, sent{"GET", "/healthz", "", nil})
-	ready, _ := do(t, server, sent{"GET", "/readyz", "", nil})
+	live, _ := do(t, server, testRequest{"GET", "/healthz", "", nil})
+	ready, _ := do(t, server, testRequest{"GET", "/readyz", "", nil})
 	is.Equal(live.StatusCode, 204)
 	is.Equal(ready.StatusCode, 503)
 }
--- a/internal/adapter/callerhttp/header.go
+++ b/internal/adapter/callerhttp/header.go
@@ -2,16 +2,16 @@
 
 // Header fields of the callers' interface.
 const (
-	// HeaderTimeout is the remaining time for the request, in milliseconds.
+	// HeaderTimeout carries the time until the request's deadline, in milliseconds.
 	HeaderTimeout = "Sassafrasreach-Timeout-Ms"
-	// HeaderKey is the key of a once-only request.
+	// HeaderKey carries the key of a once-only request.
 	HeaderKey = "Sassafrasreach-Key"
-	// HeaderPlace names the caller's place, as its look-up gave it.
+	// HeaderPlace carries the caller's place, as returned by its look-up.
 	HeaderPlace = "Sassafrasreach-Place"
-	// HeaderRequestID identifies one attempt of a request.
+	// HeaderRequestID carries the ID of one attempt of a request.
 	HeaderRequestID = "Sassafrasreach-Request-Id"
-	// HeaderVerdict says whether the request may have run.
+	// HeaderVerdict states in a response whether the request may have run.
 	HeaderVerdict = "Sassafrasreach-Verdict"
-	// HeaderEntry names the entry that answered.
+	// HeaderEntry carries the name of the entry VM that responded.
 	HeaderEntry = "Sassafrasreach-Entry"
 )
--- a/internal/adapter/callerhttp/problem.go
+++ b/internal/adapter/callerhttp/problem.go
@@ -9,15 +9,16 @@
 
 // Problem is a problem document (RFC 9457) with the verdict of the request.
 type Problem struct {
-	// Type is a URN made of the reason.
+	// Type is a URN that ends with the reason.
 	Type string `json:"type"`
-	// Title is the reason.
+	// Title is the reason; its values are those of verdict.Reason.
 	Title string `json:"title"`
 	// Status is the HTTP status.
 	Status int `json:"status"`
-	// Detail is for people.
+	// Detail is the error text, for humans.
 	Detail string `json:"detail"`
-	// Verdict says whether the request may have run.
+	// Verdict states whether the request may have run; its values are those of
+	// verdict.Verdict.
 	Verdict string `json:"verdict"`
 }
 
@@ -47,7 +48,7 @@
 	}
 }
 
-// writeProblem answers with the problem document of err.
+// writeProblem responds with the problem document for err.
 func writeProblem(w http.ResponseWriter, err error) {
 	reason := verdict.ReasonOf(err)
 	problem := Problem{
--- a/internal/adapter/callerhttp/serve.go
+++ b/internal/adapter/callerhttp/serve.go
@@ -17,20 +17,20 @@
 	"sassafrasreach/internal/port"
 )
 
-// hopHeaders are not carried from one connection to the next (RFC 9110,
-// section 7.6.1), together with this interface's own fields.
-var hopHeaders = []string{
+// notForwarded lists the header fields that are not forwarded to endpoints: those of a
+// single connection (RFC 9110, section 7.6.1) and those of this interface.
+var notForwarded = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	HeaderTimeout, HeaderKey, HeaderPlace, HeaderRequestID, HeaderVerdict, HeaderEntry,
 }
 
-// serve carries one request of a caller.
+// serve handles a request for an endpoint.
 func (h *handler) serve(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(HeaderEntry, h.name)
-	req, err := h.read(w, r)
+	req, err := h.parseRequest(w, r)
 	if err != nil {
-		writeProblem(w, refusal(r, err))
+		writeProblem(w, rejectionError(r, err))
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), req.Deadline)
@@ -43,18 +43,18 @@
 	writeResponse(w, r.Method, response)
 }
 
-// refusal returns the error of a request that this adapter refuses by itself.
-// One with a key may be the resend of an attempt that ran, which only the key's
-// home can tell.
-func refusal(r *http.Request, err error) error {
+// rejectionError returns the error of a request that is rejected before
+// port.Entry.Serve. With a valid key its verdict is MayHaveRun: the request may be a retry
+// of an attempt that ran, and only the key's home knows.
+func rejectionError(r *http.Request, err error) error {
 	if _, keyErr := claims.ParseKey(r.Header.Get(HeaderKey)); keyErr != nil {
 		return err
 	}
 	return verdict.NewError(verdict.MayHaveRun, verdict.ReasonOf(err), err)
 }
 
-// read builds the request from what the caller sent.
-func (h *handler) read(w http.ResponseWriter, r *http.Request) (*port.Request, error) {
+// parseRequest validates the caller's HTTP request and converts it.
+func (h *handler) parseRequest(w http.ResponseWriter, r *http.Request) (*port.Request, error) {
 	service := chi.URLParam(r, "service")
 	terms, err := h.entry.Terms(service, r.Method)
 	if err != nil {
@@ -88,7 +88,8 @@
 	}, nil
 }
 
-// deadline reads the remaining time; without one the service's default holds.
+// deadline returns the deadline from HeaderTimeout, or from the service's default
+// if the header is missing.
 func (h *handler) deadline(r *http.Request, terms port.ServiceTerms) (time.Time, error) {
 	now := h.clock.Now()
 	text := r.Header.Get(HeaderTimeout)
@@ -100,7 +101,8 @@
 		return time.Time{}, badRequest(fmt.Errorf("header %s: %w", HeaderTimeout, err))
 	}
 	if millis <= 0 && r.Header.Get(HeaderKey) != "" {
-		// The key's home tells what became of earlier attempts.
+		// The deadline has passed, but the request is still forwarded so that the
+		// key's home can report the outcome of earlier attempts.
 		return now, nil
 	}
 	if millis <= 0 {
@@ -115,7 +117,7 @@
 		return nil, verdict.NewError(verdict.NotRun, verdict.ReasonTooLarge, err)
 	}
 	if err != nil {
-		return nil, badRequest(fmt.Errorf("read body: %w", err))
+		return nil, badRequest(fmt.Errorf("read request body: %w", err))
 	}
 	return body, nil
 }
@@ -127,10 +129,11 @@
 	return rand.Text()
 }
 
-// maxRequestIDBytes bounds an identifier that a caller chose.
+// maxRequestIDBytes limits a request ID that the caller chose; a longer one is
+// replaced.
 const maxRequestIDBytes = 64
 
-// target returns the path and query below /s/{service}.
+// target returns the path below /s/{service} and the query.
 func target(r *http.Request, service string) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), "/s/"+service)
 	if path == "" {
@@ -142,7 +145,8 @@
 	return path
 }
 
-// endToEnd returns the headers without those of this connection.
+// endToEnd returns a copy of the headers without notForwarded and without those that
+// the Connection header lists.
 func endToEnd(in http.Header) http.Header {
 	out := in.Clone()
 	for _, field := range in.Values("Connection") {
@@ -150,14 +154,14 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range notForwarded {
 		out.Del(name)
 	}
 	return out
 }
 
-// writeResponse sends a whole answer. A failure after the first byte aborts
-// the connection, so that a truncated answer can't look complete.
+// writeResponse sends the endpoint's response. If a streamed body fails, the
+// connection is aborted, so that a truncated response can't look complete.
 func writeResponse(w http.ResponseWriter, method string, response *port.Response) {
 	header := w.Header()
 	for name, values := range response.Header {
--- a/internal/adapter/endpointhttp/pool.go
+++ b/internal/adapter/endpointhttp/pool.go
@@ -80,15 +80,15 @@
 	}
 }
 
-// put returns a connection to the pool, with the time when it was last alive.
-func (p *pool) put(c *conn, lastAlive time.Time) {
+// put returns a connection to the pool. It was last alive at the given time.
+func (p *pool) put(c *conn, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		_ = c.Close()
 		return
 	}
-	c.lastAlive = lastAlive
+	c.lastAlive = at
 	p.idle = append(p.idle, c)
 }
 
--- a/internal/adapter/idleconns/idleconns.go
+++ b/internal/adapter/idleconns/idleconns.go
@@ -1,5 +1,7 @@
-// Package idleconns closes the connections to an HTTP server that carry nothing
-// for longer than limits which may change while the server runs.
+// Package idleconns closes idle connections of an HTTP server. Unlike the timeouts
+// of http.Server, its limits may change while the server runs.
+//
+// A connection is idle while no request is being received or handled on it.
 package idleconns
 
 import (
@@ -11,61 +13,62 @@
 	"sassafrasreach/internal/port"
 )
 
-// Limits are how long a connection may carry nothing; zero sets no limit.
+// Limits are the maximum times that a connection may be idle; zero means no limit.
 type Limits struct {
-	// Header is for a connection that hasn't sent its first request yet.
+	// Header applies to a connection before the first byte of its first request.
 	Header time.Duration
-	// Idle is for one that has been answered.
+	// Idle applies to a connection after a response.
 	Idle time.Duration
 }
 
-// Reaper follows the connections of a server. It is safe for concurrent use.
+// Reaper tracks the idle connections of a server. It is safe for concurrent use.
 type Reaper struct {
 	clock  port.Clock
 	limits func() Limits
 
 	mu sync.Mutex
-	// quiet holds since when a connection carries nothing; must hold mu.
-	quiet map[net.Conn]state
+	// idle holds the idle connections. Guarded by mu.
+	idle map[net.Conn]idleState
 }
 
-type state struct {
-	since    time.Time
-	answered bool
+// idleState is since when a connection is idle, and whether it had a response.
+type idleState struct {
+	since     time.Time
+	responded bool
 }
 
-// New returns a reaper that asks for the limits at each sweep.
+// New returns a Reaper that calls limits at each sweep.
 func New(clock port.Clock, limits func() Limits) *Reaper {
-	return &Reaper{clock: clock, limits: limits, quiet: make(map[net.Conn]state)}
+	return &Reaper{clock: clock, limits: limits, idle: make(map[net.Conn]idleState)}
 }
 
-// ConnState is the hook of http.Server.
+// ConnState must be set as http.Server.ConnState.
 func (r *Reaper) ConnState(c net.Conn, to http.ConnState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch to {
 	case http.StateNew, http.StateIdle:
-		r.quiet[c] = state{r.clock.Now(), to == http.StateIdle}
+		r.idle[c] = idleState{r.clock.Now(), to == http.StateIdle}
 	default:
-		delete(r.quiet, c)
+		delete(r.idle, c)
 	}
 }
 
-// Sweep closes the connections whose time is over. It is meant to be called about
+// Sweep closes the connections that exceed their limit. It should be called about
 // once a second.
 func (r *Reaper) Sweep() {
 	limits := r.limits()
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c, s := range r.quiet {
+	for c, s := range r.idle {
 		limit := limits.Header
-		if s.answered {
+		if s.responded {
 			limit = limits.Idle
 		}
 		if limit > 0 && now.Sub(s.since) > limit {
-			delete(r.quiet, c)
-			_ = c.Close() // it carries nothing that could be lost
+			delete(r.idle, c)
+			_ = c.Close() // no request is being handled on it
 		}
 	}
 }
--- a/internal/adapter/idleconns/idleconns_test.go
+++ b/internal/adapter/idleconns/idleconns_test.go
@@ -18,16 +18,16 @@
 	"sassafrasreach/internal/port"
 )
 
-// TestSweep closes a connection that sends nothing, and one that has been
-// answered, each after its own limit and not before.
+// TestSweep guards against idle connections that stay open beyond their limit or are
+// closed too early, both before the first request and after a response.
 func TestSweep(t *testing.T) {
-	for _, answered := range []bool{false, true} {
-		t.Run(fmt.Sprint("answered ", answered), func(t *testing.T) {
+	for _, responded := range []bool{false, true} {
+		t.Run(fmt.Sprint("responded ", responded), func(t *testing.T) {
 			is := is.New(t)
-			var ahead atomic.Int64 // how far the clock has jumped
+			var offset atomic.Int64 // offset of the fake clock in nanoseconds
 			limits := idleconns.Limits{Header: 3 * time.Second, Idle: 15 * time.Second}
 			r := idleconns.New(
-				port.ClockFunc(func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }),
+				port.ClockFunc(func() time.Time { return time.Now().Add(time.Duration(offset.Load())) }),
 				func() idleconns.Limits { return limits },
 			)
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -38,23 +38,23 @@
 			is.NoErr(err)
 			defer func() { _ = conn.Close() }()
 			limit := limits.Header
-			if answered {
+			if responded {
 				limit = limits.Idle
 				_, err := fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 				is.NoErr(err)
 				_, err = http.ReadResponse(bufio.NewReader(conn), nil)
 				is.NoErr(err)
 			}
-			time.Sleep(50 * time.Millisecond) // the server notes the state after the answer
+			time.Sleep(50 * time.Millisecond) // the server calls ConnState after the response
 			open := func() bool {
 				r.Sweep()
 				is.NoErr(conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond)))
 				_, err := conn.Read(make([]byte, 1))
 				return errors.Is(err, os.ErrDeadlineExceeded)
 			}
-			ahead.Store(int64(limit - time.Second))
+			offset.Store(int64(limit - time.Second))
 			is.True(open())
-			ahead.Store(int64(limit + time.Second))
+			offset.Store(int64(limit + time.Second))
 			is.True(!open())
 		})
 	}
--- a/internal/adapter/logsink/sink.go
+++ b/internal/adapter/logsink/sink.go
@@ -1,8 +1,10 @@
-// Package logsink writes log records without ever making their writer wait.
+// Package logsink decides which log records are written, so that logging never
+// blocks.
 //
-// Records go through a bounded buffer that one goroutine empties. When standard
-// output is too slow, or more bytes come in a second than the bound, records are
-// dropped and counted, and a later record tells how many.
+// Records go into a bounded buffer that one goroutine writes to the output. Records
+// that don't fit because the output is too slow, or that exceed the rate limit (a
+// token bucket of bytes), are dropped and counted. The process logs the number,
+// which Dropped returns, in a later record.
 package logsink
 
 import (
@@ -13,47 +15,51 @@
 )
 
 const (
-	// bufferBytes bounds the records that wait for a slow output.
+	// bufferBytes limits the records that are buffered for a slow output.
 	bufferBytes = 256 << 10
-	// flushPeriod gathers records into fewer writes: each costs a system call.
+	// flushPeriod is the delay of a write, which batches records: each write costs a
+	// system call.
 	flushPeriod = 100 * time.Millisecond
-	// bytesPerSecond bounds the volume under load: some 150 records.
+	// bytesPerSecond is the rate and the burst of the token bucket. It limits the
+	// volume under load to about 150 records a second.
 	bytesPerSecond = 64 << 10
 )
 
-// Sink is an io.Writer that never blocks. It is safe for concurrent use.
+// Sink is an io.Writer whose Write never blocks on the output. It is safe for
+// concurrent use.
 type Sink struct {
 	out     io.Writer
 	dropped atomic.Int64
 
-	// mu guards what follows.
-	mu      sync.Mutex
-	waiting []byte
-	budget  int
-	filled  time.Time
-	now     func() time.Time
-	wake    chan struct{}
+	// mu guards buffer, tokens and refilledAt.
+	mu         sync.Mutex
+	buffer     []byte
+	tokens     int
+	refilledAt time.Time
+	now        func() time.Time
+	wake       chan struct{}
 }
 
-// New returns a sink that writes to out until the process ends.
+// New returns a Sink that writes to out. Its goroutine runs until the process ends.
 func New(out io.Writer) *Sink {
-	s := &Sink{out: out, budget: bytesPerSecond, now: time.Now, wake: make(chan struct{}, 1)}
-	s.filled = s.now()
+	s := &Sink{out: out, tokens: bytesPerSecond, now: time.Now, wake: make(chan struct{}, 1)}
+	s.refilledAt = s.now()
 	go s.run()
 	return s
 }
 
-// Write implements io.Writer: it takes one record whole or drops it.
+// Write implements io.Writer. It buffers one record completely or drops it; it never
+// returns an error.
 func (s *Sink) Write(record []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refill()
-	if len(record) > s.budget || len(s.waiting)+len(record) > bufferBytes {
+	if len(record) > s.tokens || len(s.buffer)+len(record) > bufferBytes {
 		s.dropped.Add(1)
 		return len(record), nil
 	}
-	s.budget -= len(record)
-	s.waiting = append(s.waiting, record...)
+	s.tokens -= len(record)
+	s.buffer = append(s.buffer, record...)
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -61,27 +67,27 @@
 	return len(record), nil
 }
 
-// refill must hold mu.
+// refill adds the tokens for the time since the last refill. The caller must hold mu.
 func (s *Sink) refill() {
 	now := s.now()
-	gained := int(now.Sub(s.filled).Seconds() * bytesPerSecond)
-	if gained > 0 {
-		s.budget = min(s.budget+gained, bytesPerSecond)
-		s.filled = now
+	added := int(now.Sub(s.refilledAt).Seconds() * bytesPerSecond)
+	if added > 0 {
+		s.tokens = min(s.tokens+added, bytesPerSecond)
+		s.refilledAt = now
 	}
 }
 
 // Dropped returns the number of records dropped since the last call.
 func (s *Sink) Dropped() int64 { return s.dropped.Swap(0) }
 
-// Flush writes what waits; it may block as long as the output does.
+// Flush writes the buffered records. It blocks for as long as the output does.
 func (s *Sink) Flush() {
 	s.mu.Lock()
-	batch := s.waiting
-	s.waiting = nil
+	batch := s.buffer
+	s.buffer = nil
 	s.mu.Unlock()
 	if len(batch) > 0 {
-		// There is nowhere left to tell of an output that fails.
+		// A failure of the log output itself can't be logged.
 		_, _ = s.out.Write(batch)
 	}
 }
--- a/internal/adapter/logsink/sink_test.go
+++ b/internal/adapter/logsink/sink_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// stalled is an output whose reader has stopped.
+// stalled is an output that blocks until release is closed.
 type stalled struct{ release chan struct{} }
 
 func (s stalled) Write(p []byte) (int, error) {
@@ -16,8 +16,8 @@
 	return len(p), nil
 }
 
-// TestStalledOutput writes on while nobody reads: no write waits, and what
-// doesn't fit is counted.
+// TestStalledOutput guards against callers that block because nobody reads the log
+// output. Records that don't fit must be counted as dropped.
 func TestStalledOutput(t *testing.T) {
 	is := is.New(t)
 	out := stalled{release: make(chan struct{})}
@@ -35,12 +35,13 @@
 	is.Equal(s.Dropped(), int64(0))
 }
 
-// TestBoundedVolume takes no more than the bound in a second, and goes on after.
-func TestBoundedVolume(t *testing.T) {
+// TestRateLimit guards against more output than bytesPerSecond, and against
+// records that are still dropped a second later.
+func TestRateLimit(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	var out bytes.Buffer
-	s := &Sink{out: &out, budget: bytesPerSecond, filled: now, now: func() time.Time { return now }, wake: make(chan struct{}, 1)}
+	s := &Sink{out: &out, tokens: bytesPerSecond, refilledAt: now, now: func() time.Time { return now }, wake: make(chan struct{}, 1)}
 	record := bytes.Repeat([]byte("x"), 1000)
 	for range 500 {
 		_, _ = s.Write(record)
--- a/internal/adapter/metrics/meter.go
+++ b/internal/adapter/metrics/meter.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// sampleSize and sampleAlpha shape the reservoir of a histogram: about a
-	// thousand samples, biased to the last five minutes.
+	// sampleSize and sampleAlpha configure the exponentially decaying reservoir of a
+	// histogram: about a thousand samples, weighted to the last five minutes.
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// Meter implements port.Meter.
+// Meter implements port.Meter and port.FleetMeter.
 type Meter struct {
 	registry gometrics.Registry
 }
@@ -27,11 +27,11 @@
 	_ port.FleetMeter = (*Meter)(nil)
 )
 
-// New returns a meter with a registry of its own.
+// New returns a Meter with its own registry.
 func New() *Meter { return &Meter{registry: gometrics.NewRegistry()} }
 
-// Handler serves the registry as JSON; gauges are read at each request, nil means
-// none.
+// Handler serves the registry as JSON. It updates the gauges from the given function
+// at each request; nil means none.
 func (m *Meter) Handler(gauges func() map[string]int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/contract/doc.go
+++ b/internal/contract/doc.go
@@ -1,3 +1,3 @@
-// Package contract has tests that show how the libraries behave at which the
-// system's promises could break, so that an upgrade that changes it is noticed.
+// Package contract contains tests of the behavior of libraries on which the system's
+// guarantees depend, so that an upgrade that changes this behavior is detected.
 package contract
--- a/internal/contract/grpc_test.go
+++ b/internal/contract/grpc_test.go
@@ -16,14 +16,14 @@
 	peerv1 "sassafrasreach/api/peer/v1"
 )
 
-// refuser is a raw HTTP/2 server that reads whole requests, as one that runs
-// them would, and then refuses their streams.
-type refuser struct {
+// refusingServer is a raw HTTP/2 server that reads each request completely, as a
+// server does that runs it, and then refuses its stream.
+type refusingServer struct {
 	received atomic.Int64
 	refuse   func(f *http2.Framer, stream uint32) error
 }
 
-func (r *refuser) serve(c net.Conn) {
+func (r *refusingServer) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	if _, err := io.ReadFull(c, make([]byte, len(http2.ClientPreface))); err != nil {
 		return
@@ -54,9 +54,10 @@
 	}
 }
 
-// TestTransparentRetry shows that grpc-go sends a request again by itself when
-// its stream is refused or left out by GOAWAY, also with retries disabled. The
-// receiver of a forwarded request must therefore know it by its ID.
+// TestTransparentRetry shows that grpc-go retries a request when its stream is
+// refused or is not covered by the last stream ID of a GOAWAY, even with retries
+// disabled. The receiver of a forwarded request must therefore detect duplicates by
+// the request's ID.
 func TestTransparentRetry(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -82,7 +83,7 @@
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			is.NoErr(err)
 			defer func() { _ = listener.Close() }()
-			r := &refuser{refuse: c.refuse}
+			r := &refusingServer{refuse: c.refuse}
 			go func() {
 				for {
 					conn, err := listener.Accept()
--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -17,12 +17,12 @@
 const (
 	// announceInterval is the time between announcements.
 	announceInterval = time.Second
-	// announceTimeout bounds one announcement.
+	// announceTimeout limits the time of one announcement to one entry VM.
 	announceTimeout = 500 * time.Millisecond
 )
 
-// announcer reports the endpoint to one entry at a time and moves to the next
-// one that it knows when that entry doesn't answer.
+// announcer announces the endpoint to one entry VM at a time. When an announcement
+// fails, it switches to the next known entry VM.
 type announcer struct {
 	endpoint    *Endpoint
 	client      *http.Client
@@ -30,7 +30,7 @@
 	next        int
 	incarnation uint64
 	sequence    uint64
-	now         chan struct{}
+	wakeUp      chan struct{}
 }
 
 func newAnnouncer(e *Endpoint) *announcer {
@@ -39,14 +39,14 @@
 		client:      &http.Client{Timeout: announceTimeout},
 		entries:     e.config.Entries,
 		incarnation: uint64(e.started.UnixNano()),
-		now:         make(chan struct{}, 1),
+		wakeUp:      make(chan struct{}, 1),
 	}
 }
 
-// wake makes the next announcement due at once.
-func (a *announcer) wake() {
+// announceNow triggers an announcement without waiting for the next period.
+func (a *announcer) announceNow() {
 	select {
-	case a.now <- struct{}{}:
+	case a.wakeUp <- struct{}{}:
 	default:
 	}
 }
@@ -54,16 +54,17 @@
 func (a *announcer) run(ctx context.Context) {
 	announce := func() { a.announce(ctx) }
 	announce()
-	wait.EachOr(ctx, announceInterval, a.now, announce)
+	wait.EachOr(ctx, announceInterval, a.wakeUp, announce)
 }
 
-// announce tries each known entry once, beginning with the last good one.
+// announce sends an announcement to each known entry VM, starting with the last one
+// that accepted, until one accepts.
 func (a *announcer) announce(ctx context.Context) {
 	a.sequence++
 	for range a.entries {
 		answer, err := a.send(ctx, a.entries[a.next%len(a.entries)])
 		if err == nil {
-			a.learn(answer)
+			a.updateEntries(answer)
 			return
 		}
 		a.client.CloseIdleConnections()
@@ -71,8 +72,9 @@
 	}
 }
 
-// learn adds the entries of the answer to those of the settings.
-func (a *announcer) learn(answer port.AnnounceAnswer) {
+// updateEntries replaces the known entry VMs: first the current one, then those of
+// the answer, then those of the configuration.
+func (a *announcer) updateEntries(answer port.AnnounceAnswer) {
 	current := a.entries[a.next%len(a.entries)]
 	merged := []string{current}
 	for _, address := range append(answer.Entries, a.endpoint.config.Entries...) {
@@ -124,6 +126,6 @@
 		Slots:       e.config.Slots,
 		Connections: e.config.Connections,
 		State:       state,
-		Load:        float64(e.busy.Load()) / float64(e.config.Slots),
+		Load:        float64(e.inFlight.Load()) / float64(e.config.Slots),
 	}
 }
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -7,37 +7,39 @@
 	"time"
 )
 
-// Config describes one stand-in endpoint.
+// Config configures one stand-in endpoint.
 type Config struct {
 	// ID, Service and Place identify the endpoint.
 	ID      string
 	Service string
 	Place   string
-	// Listen is the IP:port to serve on.
+	// Listen is the IP:port to serve on; it is announced too.
 	Listen string
-	// Entries are the IP:ports of entries to announce to.
+	// Entries are the IP:ports of entry VMs to announce to.
 	Entries []string
-	// Slots and Connections are announced; more than Slots at once are shed.
+	// Slots and Connections are announced. Requests beyond Slots at once are shed.
+	// Connections isn't enforced.
 	Slots       int
 	Connections int
-	// Work is the time that a request takes; Cold is added to the first ones
-	// and shrinks to nothing over Warmup.
+	// Work is the duration of a request. After the start, Cold is added to it; this
+	// addition decreases linearly to zero over Warmup.
 	Work   time.Duration
 	Cold   time.Duration
 	Warmup time.Duration
-	// CrashOn ends the process when a request's body is this text; for trials
-	// of quarantine. Empty never crashes.
+	// CrashOn is the request body on which the process exits; for trials of
+	// quarantine. Empty means never.
 	CrashOn string
-	// RunLog is a file that gets one line for each run; empty means none.
+	// RunLog is a file to which one line is appended for each run; empty means none.
 	RunLog string
-	// LeaveFor is how long the endpoint announces that it leaves before it ends.
+	// LeaveFor is how long the endpoint announces that it is leaving before it shuts
+	// down.
 	LeaveFor time.Duration
 }
 
 // ErrBadConfig is wrapped by every error of Validate.
 var ErrBadConfig = errors.New("bad stand-in configuration")
 
-// Validate returns an error that wraps ErrBadConfig for the first fault.
+// Validate returns an error that wraps ErrBadConfig for the first invalid setting.
 func (c Config) Validate() error {
 	for _, field := range []struct{ name, value string }{
 		{"id", c.ID}, {"service", c.Service}, {"place", c.Place},
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,4 +1,4 @@
-// Package standin is a small endpoint for trials: it announces itself, runs a
-// bounded number of requests at once, sheds what is over that, and leaves
-// cleanly. It speaks the endpoints' published protocol and nothing else.
+// Package standin is a small endpoint for trials. It announces itself, runs a limited
+// number of requests at once, sheds the others (refuses them without running them),
+// and shuts down gracefully. It uses only the published protocol of endpoints.
 package standin
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -19,36 +19,37 @@
 )
 
 const (
-	// headerRequestID is echoed by every answer.
+	// headerRequestID carries the request's ID; every response echoes it.
 	headerRequestID = "Sassafrasreach-Request-Id"
-	// headerTimeout is the remaining time in milliseconds.
+	// headerTimeout carries the time until the request's deadline, in milliseconds.
 	headerTimeout = "Sassafrasreach-Timeout-Ms"
-	// headerShed marks the answer of a request that was not started.
+	// headerShed marks the response to a request that was not run.
 	headerShed = "Sassafrasreach-Shed"
-	// maxBodyBytes bounds what a stand-in reads.
+	// maxBodyBytes limits the body of a request.
 	maxBodyBytes = 8 << 20
-	// exitCrash is the exit status of a crash on request.
+	// exitCrash is the exit status of a crash by Config.CrashOn.
 	exitCrash = 70
-	// idleTimeout closes connections that carry nothing.
+	// idleTimeout is how long a connection may be idle between requests.
 	idleTimeout = 2 * time.Minute
-	// headerTimeoutLimit bounds the time to read a request's head.
-	headerTimeoutLimit = 5 * time.Second
+	// readHeaderTimeout limits the time to read the head of a request.
+	readHeaderTimeout = 5 * time.Second
 )
 
-// Endpoint serves requests and counts its runs.
+// Endpoint serves requests and counts those that it runs.
 type Endpoint struct {
 	config  Config
 	logger  *slog.Logger
 	started time.Time
 	runLog  io.Writer
 
-	slots   chan struct{}
-	runs    atomic.Int64
-	busy    atomic.Int64
-	leaving atomic.Bool
+	slots    chan struct{}
+	runs     atomic.Int64
+	inFlight atomic.Int64
+	leaving  atomic.Bool
 }
 
-// New returns an endpoint; the configuration must be valid.
+// New returns an Endpoint. The error wraps ErrBadConfig if the configuration is
+// invalid.
 func New(config Config, logger *slog.Logger) (*Endpoint, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -65,20 +66,20 @@
 	}
 	file, err := os.OpenFile(config.RunLog, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("run log: %w", err)
+		return nil, fmt.Errorf("open run log: %w", err)
 	}
 	e.runLog = file
 	return e, nil
 }
 
-// Run serves until ctx ends, then announces that it leaves, finishes what it
-// runs and returns.
+// Run serves until ctx ends. Then it announces that it is leaving, still serves for
+// LeaveFor, waits for the in-flight requests and returns.
 func (e *Endpoint) Run(ctx context.Context) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", e.config.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	server := &http.Server{Handler: e, IdleTimeout: idleTimeout, ReadHeaderTimeout: headerTimeoutLimit}
+	server := &http.Server{Handler: e, IdleTimeout: idleTimeout, ReadHeaderTimeout: readHeaderTimeout}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
 	event.Log(ctx, e.logger, event.Listening, slog.String("address", e.config.Listen))
@@ -93,7 +94,7 @@
 	case <-ctx.Done():
 	}
 	e.leaving.Store(true)
-	announcer.wake()
+	announcer.announceNow()
 	time.Sleep(e.config.LeaveFor)
 	if err := server.Shutdown(context.WithoutCancel(ctx)); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("shutdown: %w", err)
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// ServeHTTP runs one request, or sheds it.
+// ServeHTTP runs a request, or sheds it if all slots are in use.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(headerRequestID, r.Header.Get(headerRequestID))
 	select {
@@ -110,9 +111,9 @@
 		shed(w)
 		return
 	}
-	e.busy.Add(1)
+	e.inFlight.Add(1)
 	defer func() {
-		e.busy.Add(-1)
+		e.inFlight.Add(-1)
 		<-e.slots
 	}()
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -133,7 +134,7 @@
 		http.Error(w, "deadline exceeded", http.StatusGatewayTimeout)
 		return
 	}
-	answer := Answer{
+	response := Response{
 		Endpoint: e.config.ID,
 		Service:  e.config.Service,
 		Place:    e.config.Place,
@@ -143,22 +144,22 @@
 		Body:     string(body),
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
-// Answer is what a stand-in answers.
-type Answer struct {
+// Response is the JSON body of the response to a request that was run.
+type Response struct {
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
 	Place    string `json:"place"`
-	// Run counts the runs of this incarnation.
+	// Run is the number of this run in the endpoint's incarnation, from 1.
 	Run    int64  `json:"run"`
 	Method string `json:"method"`
 	Target string `json:"target"`
 	Body   string `json:"body"`
 }
 
-// workTime returns the time of one request, longer while the endpoint is cold.
+// workTime returns the duration of a request that starts now.
 func (e *Endpoint) workTime() time.Duration {
 	age := time.Since(e.started)
 	if age >= e.config.Warmup {
@@ -168,8 +169,9 @@
 	return e.config.Work + time.Duration(left*float64(e.config.Cold))
 }
 
-// sleep waits for d; false when the caller went away or the remaining time is
-// too short for it.
+// sleep waits for d and returns true. It returns false as soon as ctx ends or the
+// remaining time, in milliseconds, is over. A remaining time that isn't a number is
+// ignored.
 func sleep(ctx context.Context, d time.Duration, remaining string) bool {
 	if millis, err := strconv.ParseInt(remaining, 10, 64); err == nil {
 		var cancel context.CancelFunc
--- a/internal/testlink/doc.go
+++ b/internal/testlink/doc.go
@@ -1,8 +1,10 @@
-// Package testlink is a stand-in for the network between two processes, for
-// tests.
+// Package testlink simulates a faulty network between two processes, for tests.
 //
-// A Link relays TCP connections on loopback. It can delay them, drop their bytes
-// in one direction or both, let established connections go silent while new ones
-// work, as a middlebox does that lost track of them, and break them with a reset
-// at a byte offset.
+// A Link relays TCP connections on loopback. It can delay bytes, drop all bytes in
+// one direction or both, drop them on established connections only while new ones
+// work, as a middlebox does that lost its connection state, and reset connections
+// after a number of bytes.
+//
+// The dialer is the process that dials the Link; the target is the process to which
+// the Link relays.
 package testlink
--- a/internal/testlink/link.go
+++ b/internal/testlink/link.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Direction selects one or both ways of a link.
+// Direction selects one or both directions of a link.
 type Direction uint8
 
 const (
-	// ToTarget is the way from the side that dialed.
+	// ToTarget is the direction from the dialer to the target.
 	ToTarget Direction = 1 << iota
-	// ToDialer is the way back.
+	// ToDialer is the direction from the target to the dialer.
 	ToDialer
-	// Both is both ways.
+	// Both selects both directions.
 	Both = ToTarget | ToDialer
 )
 
@@ -23,19 +23,19 @@
 type Kind uint8
 
 const (
-	// Silence swallows all further bytes; neither end is told.
+	// Silence drops all further bytes; the connection stays open at both ends.
 	Silence Kind = iota
-	// Reset breaks the connection towards both ends.
+	// Reset resets the connection at both ends.
 	Reset
 )
 
-// Fault strikes a connection after a number of bytes.
+// Fault affects a connection after a number of bytes.
 type Fault struct {
-	// Kind is what happens.
+	// Kind is the effect.
 	Kind Kind
-	// Direction is the way whose bytes are counted and swallowed.
+	// Direction is the direction whose bytes are counted and then dropped.
 	Direction Direction
-	// After is the number of bytes that still pass.
+	// After is the number of bytes that are still relayed.
 	After int64
 }
 
@@ -46,23 +46,24 @@
 	work     sync.WaitGroup
 
 	mu sync.Mutex
-	// pairs are the open connections; must hold mu.
+	// pairs holds the open connections. Guarded by mu.
 	pairs map[*pair]struct{}
-	// delay is added to each way; must hold mu.
+	// delay is added in each direction. Guarded by mu.
 	delay time.Duration
-	// cut selects the ways that drop all bytes; must hold mu.
+	// cut selects the directions in which all bytes are dropped. Guarded by mu.
 	cut Direction
-	// next strikes connections that are accepted from now on; must hold mu.
+	// next is the fault of each connection accepted from now on; nil means none.
+	// Guarded by mu.
 	next *Fault
-	// accepted counts the connections; must hold mu.
+	// accepted counts the relayed connections. Guarded by mu.
 	accepted int
 	closed   bool
 }
 
-// New starts a link to the target address on a free loopback port.
+// New starts a Link to the target's IP:port on a free loopback port.
 func New(target string) (*Link, error) { return Listen("127.0.0.1:0", target) }
 
-// Listen starts a link to the target address at an address of its own.
+// Listen starts a Link to the target's IP:port that listens on the given address.
 func Listen(address, target string) (*Link, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", address)
@@ -74,33 +75,34 @@
 	return l, nil
 }
 
-// Addr returns the IP:port to dial in place of the target.
+// Addr returns the IP:port to dial instead of the target's.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// Accepted returns the number of connections that were opened so far.
+// Accepted returns the number of connections relayed so far. Connections for which
+// the target couldn't be dialed don't count.
 func (l *Link) Accepted() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.accepted
 }
 
-// SetDelay adds d to each way, for bytes that arrive from now on.
+// SetDelay adds the delay d in each direction, for bytes that arrive from now on.
 func (l *Link) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// Cut drops all bytes in the given directions, on old connections and new ones,
-// until Heal. Dialing still succeeds. Bytes that were dropped stay lost: a
-// connection that lost some is silent in that direction for good.
+// Cut drops all bytes in the given directions, on established and new connections,
+// until Heal. Dialing still succeeds. A connection that lost bytes drops all further
+// bytes in that direction, also after Heal.
 func (l *Link) Cut(d Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = d
 }
 
-// Heal ends Cut and the faults for new connections.
+// Heal ends the effects of Cut and FailNext.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,27 +110,28 @@
 	l.next = nil
 }
 
-// Swallow makes all established connections silent in the given directions for
-// good. New connections work.
+// Swallow drops all further bytes of all established connections in the given
+// directions, permanently. New connections work.
 func (l *Link) Swallow(d Direction) { l.Fail(Fault{Kind: Silence, Direction: d}) }
 
-// Fail strikes all established connections; After counts from now.
+// Fail applies a fault to all established connections; After counts from now.
 func (l *Link) Fail(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.pairs {
-		p.strike(f)
+		p.setFault(f)
 	}
 }
 
-// FailNext strikes the connections that are accepted from now on, until Heal.
+// FailNext applies a fault to the connections that are accepted from now on, until
+// Heal.
 func (l *Link) FailNext(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next = &f
 }
 
-// Close ends the link and its connections.
+// Close stops listening and resets all connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -150,7 +153,8 @@
 	}
 }
 
-// relay connects to the target and passes bytes on until both ways have ended.
+// relay dials the target and relays bytes until both directions have ended. If
+// dialing fails, it resets the dialer's connection.
 func (l *Link) relay(dialer *net.TCPConn) {
 	var d net.Dialer
 	raw, err := d.DialContext(context.Background(), "tcp", l.target)
@@ -164,10 +168,10 @@
 		p.reset()
 		return
 	}
-	var ways sync.WaitGroup
-	ways.Go(func() { p.pump(ToTarget, p.dialer, p.target) })
-	ways.Go(func() { p.pump(ToDialer, p.target, p.dialer) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.transfer(ToTarget, p.dialer, p.target) })
+	directions.Go(func() { p.transfer(ToDialer, p.target, p.dialer) })
+	directions.Wait()
 	l.remove(p)
 }
 
@@ -180,7 +184,7 @@
 	l.accepted++
 	l.pairs[p] = struct{}{}
 	if l.next != nil {
-		p.strike(*l.next)
+		p.setFault(*l.next)
 	}
 	return true
 }
--- a/internal/testlink/link_test.go
+++ b/internal/testlink/link_test.go
@@ -14,7 +14,7 @@
 	"sassafrasreach/internal/testlink"
 )
 
-// echo serves a listener that returns every byte, and a link to it.
+// echo starts an echo server and returns a Link to it.
 func echo(t *testing.T) *testlink.Link {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,9 +38,9 @@
 	return link
 }
 
-// say sends text over c and returns what comes back: what is wanted, in any
-// time, and the rest before it falls silent.
-func say(c net.Conn, text, want string) (string, error) {
+// exchange sends text over c and returns the echo. It waits up to a minute for as
+// many bytes as want has, and then briefly for the remaining ones.
+func exchange(c net.Conn, text, want string) (string, error) {
 	_ = c.SetDeadline(time.Now().Add(time.Minute))
 	if _, err := c.Write([]byte(text)); err != nil {
 		return "", err
@@ -55,26 +55,29 @@
 	return string(buf[:n+rest]), err
 }
 
+// TestFaults guards against a Link that doesn't simulate the fault that a test asked
+// for. For each fault it checks the bytes and the error on an established connection
+// and the bytes on a connection opened afterwards.
 func TestFaults(t *testing.T) {
 	cases := []struct {
 		name   string
-		strike func(*testlink.Link)
+		inject func(*testlink.Link)
 		want   string
 		err    error
-		// next is what a connection says that is opened afterwards.
+		// next is the echo on a connection that is opened afterwards.
 		next string
 	}{
 		{"none", func(*testlink.Link) {}, "hello", nil, "hello"},
-		{"swallow there", func(l *testlink.Link) { l.Swallow(testlink.ToTarget) }, "", os.ErrDeadlineExceeded, "hello"},
-		{"swallow back", func(l *testlink.Link) { l.Swallow(testlink.ToDialer) }, "", os.ErrDeadlineExceeded, "hello"},
-		{"swallow from the third byte", func(l *testlink.Link) {
+		{"drop to the target", func(l *testlink.Link) { l.Swallow(testlink.ToTarget) }, "", os.ErrDeadlineExceeded, "hello"},
+		{"drop to the dialer", func(l *testlink.Link) { l.Swallow(testlink.ToDialer) }, "", os.ErrDeadlineExceeded, "hello"},
+		{"drop from the third byte", func(l *testlink.Link) {
 			l.Fail(testlink.Fault{Kind: testlink.Silence, Direction: testlink.ToDialer, After: 2})
 		}, "he", os.ErrDeadlineExceeded, "hello"},
 		{"reset from the third byte", func(l *testlink.Link) {
 			l.Fail(testlink.Fault{Kind: testlink.Reset, Direction: testlink.ToDialer, After: 2})
 		}, "he", syscall.ECONNRESET, "hello"},
 		{"cut", func(l *testlink.Link) { l.Cut(testlink.ToTarget) }, "", os.ErrDeadlineExceeded, ""},
-		{"next", func(l *testlink.Link) {
+		{"fault of the next connection", func(l *testlink.Link) {
 			l.FailNext(testlink.Fault{Kind: testlink.Silence, Direction: testlink.ToTarget, After: 1})
 		}, "hello", nil, "h"},
 	}
@@ -85,16 +88,16 @@
 			first, err := net.Dial("tcp", link.Addr())
 			is.NoErr(err)
 			defer func() { _ = first.Close() }()
-			_, err = say(first, "x", "x")
+			_, err = exchange(first, "x", "x")
 			is.NoErr(err)
-			c.strike(link)
-			got, err := say(first, "hello", c.want)
+			c.inject(link)
+			got, err := exchange(first, "hello", c.want)
 			is.Equal(got, c.want)
 			is.True(errors.Is(err, c.err))
 			second, err := net.Dial("tcp", link.Addr())
 			is.NoErr(err)
 			defer func() { _ = second.Close() }()
-			got, _ = say(second, "hello", c.next)
+			got, _ = exchange(second, "hello", c.next)
 			is.Equal(got, c.next)
 		})
 	}
--- a/internal/testlink/pair.go
+++ b/internal/testlink/pair.go
@@ -7,58 +7,60 @@
 
 const (
 	chunkBytes = 16 << 10
-	// queueChunks bounds the chunks that wait for their delay.
+	// queueChunks limits the chunks that are queued for their delay.
 	queueChunks = 256
 )
 
-// pair is one relayed connection.
+// pair is a relayed connection: the dialer's connection and the one to the target.
 type pair struct {
 	link   *Link
 	dialer *net.TCPConn
 	target *net.TCPConn
-	// toTarget and toDialer are the faults of each way; must hold link.mu.
-	toTarget, toDialer way
+	// toTarget and toDialer are the states of the directions. Guarded by link.mu.
+	toTarget, toDialer directionState
 }
 
-// way is the state of one direction.
-type way struct {
-	fault  *Fault
-	left   int64
-	silent bool
+// directionState is the fault of one direction, the number of bytes that are still
+// relayed before it takes effect, and whether all further bytes are dropped.
+type directionState struct {
+	fault     *Fault
+	remaining int64
+	dropping  bool
 }
 
-// chunk is data on its way; nil data is the sender's end of file, or a reset of
-// the connection.
+// chunk is data to be delivered at a time. Without data it is the sender's end of
+// file or, with reset, a reset of the connection.
 type chunk struct {
 	due   time.Time
 	data  []byte
 	reset bool
 }
 
-// way returns the state of one direction. Must hold link.mu.
-func (p *pair) way(d Direction) *way {
+// directionState returns the state of one direction. The caller must hold link.mu.
+func (p *pair) directionState(d Direction) *directionState {
 	if d == ToTarget {
 		return &p.toTarget
 	}
 	return &p.toDialer
 }
 
-// strike sets a fault. Must hold link.mu.
-func (p *pair) strike(f Fault) {
+// setFault sets the fault of the connection. A reset after zero bytes takes effect
+// at once. The caller must hold link.mu.
+func (p *pair) setFault(f Fault) {
 	if f.Kind == Reset && f.After == 0 {
 		p.reset()
 		return
 	}
 	for _, d := range []Direction{ToTarget, ToDialer} {
 		if f.Direction&d != 0 {
-			w := p.way(d)
-			w.fault = &f
-			w.left = f.After
+			s := p.directionState(d)
+			s.fault = &f
+			s.remaining = f.After
 		}
 	}
 }
 
-// reset breaks both connections so that the ends see RST.
+// reset closes both connections with a TCP RST.
 func (p *pair) reset() {
 	for _, c := range []*net.TCPConn{p.dialer, p.target} {
 		_ = c.SetLinger(0)
@@ -66,9 +68,9 @@
 	}
 }
 
-// pump passes bytes in one direction until the sender ends or a connection
-// breaks.
-func (p *pair) pump(d Direction, from, to *net.TCPConn) {
+// transfer relays bytes in one direction until the sender closes it or the
+// sender's connection fails.
+func (p *pair) transfer(d Direction, from, to *net.TCPConn) {
 	queue := make(chan chunk, queueChunks)
 	done := make(chan struct{})
 	go func() {
@@ -79,10 +81,10 @@
 		buf := make([]byte, chunkBytes)
 		n, err := from.Read(buf)
 		if n > 0 {
-			p.pass(d, buf[:n], queue)
+			p.forward(d, buf[:n], queue)
 		}
 		if err != nil {
-			p.pass(d, nil, queue)
+			p.forward(d, nil, queue)
 			break
 		}
 	}
@@ -90,22 +92,22 @@
 	<-done
 }
 
-// pass queues what the link lets through; nil data is an end of file, which a
-// silent way swallows too.
-func (p *pair) pass(d Direction, data []byte, queue chan<- chunk) {
+// forward queues the data that isn't dropped. Nil data is the sender's end of file,
+// which is dropped like data.
+func (p *pair) forward(d Direction, data []byte, queue chan<- chunk) {
 	p.link.mu.Lock()
 	due := time.Now().Add(p.link.delay)
-	w := p.way(d)
+	s := p.directionState(d)
 	if p.link.cut&d != 0 {
-		w.silent = true
+		s.dropping = true
 	}
-	kept, broken := w.filter(data)
-	silent := w.silent
+	passed, broken := s.filter(data)
+	dropping := s.dropping
 	p.link.mu.Unlock()
-	if len(kept) > 0 {
-		queue <- chunk{due: due, data: kept}
+	if len(passed) > 0 {
+		queue <- chunk{due: due, data: passed}
 	}
-	if data == nil && !silent {
+	if data == nil && !dropping {
 		queue <- chunk{due: due}
 	}
 	if broken {
@@ -113,23 +115,23 @@
 	}
 }
 
-// filter returns the part of data that passes, and whether the connection is to
-// be broken after it. Must hold link.mu.
-func (w *way) filter(data []byte) (kept []byte, broken bool) {
-	if w.silent {
+// filter returns the part of data that is relayed, and whether the connection must
+// be reset after it. The caller must hold link.mu.
+func (s *directionState) filter(data []byte) (passed []byte, broken bool) {
+	if s.dropping {
 		return nil, false
 	}
-	if w.fault == nil || int64(len(data)) < w.left {
-		w.left -= int64(len(data))
+	if s.fault == nil || int64(len(data)) < s.remaining {
+		s.remaining -= int64(len(data))
 		return data, false
 	}
-	kept = data[:w.left]
-	w.left = 0
-	w.silent = true
-	return kept, w.fault.Kind == Reset
+	passed = data[:s.remaining]
+	s.remaining = 0
+	s.dropping = true
+	return passed, s.fault.Kind == Reset
 }
 
-// deliver writes queued chunks when they are due.
+// deliver delivers the queued chunks when they are due.
 func (p *pair) deliver(queue <-chan chunk, to *net.TCPConn) {
 	for c := range queue {
 		time.Sleep(time.Until(c.due))
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package testseed fixes the seed of property tests, so that each run of the
-// tests gives one verdict. It is used by tests only.
+// Package testseed fixes the random seed of property tests, so that their results
+// are reproducible. It is used by tests only.
 package testseed
 
 import (
@@ -8,15 +8,17 @@
 	"testing"
 )
 
-// Settings are flags of pgregory.net/rapid. The command line goes before them.
+// Settings are values of flags of pgregory.net/rapid. Flags on the command line
+// override them.
 type Settings struct {
-	// Seed is the seed; it must not be 0, which means a random one.
+	// Seed is the random seed. It must not be 0, for which rapid chooses one.
 	Seed uint64
-	// Checks and Steps replace the library's numbers; 0 keeps them.
+	// Checks and Steps replace the defaults of rapid; 0 keeps a default.
 	Checks, Steps int
 }
 
-// Main runs the tests of a package with the settings; call it from TestMain.
+// Main runs the tests of a package with the settings. Call it from TestMain. It
+// also disables fail files and the shrinking of failed cases.
 func Main(m *testing.M, s Settings) {
 	set("rapid.nofailfile", "true")
 	set("rapid.shrinktime", "0s")
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds pauses that end with a context.
+// Package wait provides delays and periodic calls that end with a context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d. It returns false when ctx ended first.
+// For waits for d and returns true. It returns false as soon as ctx ends.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -18,12 +18,13 @@
 	}
 }
 
-// Each calls do each period until ctx ends.
+// Each calls do once per period until ctx ends, first after one period.
 func Each(ctx context.Context, period time.Duration, do func()) {
 	EachOr(ctx, period, nil, do)
 }
 
-// EachOr calls do each period, and besides whenever wake says so, until ctx ends.
+// EachOr calls do once per period, and in addition for each receive from wake, until
+// ctx ends.
 func EachOr(ctx context.Context, period time.Duration, wake <-chan struct{}, do func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
