--- a/internal/adapter/callerhttp/serve.go
+++ b/internal/adapter/callerhttp/serve.go
@@ -17,8 +17,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// notForwarded lists the header fields that are not forwarded to endpoints: those of a
-// single connection (RFC 9110, section 7.6.1) and those of this interface.
+// notForwarded lists the header fields that are not forwarded to endpoints: those of
+// a single connection (RFC 9110, section 7.6.1) and those of this interface.
 var notForwarded = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -44,8 +44,8 @@
 }
 
 // rejectionError returns the error of a request that is rejected before
-// port.Entry.Serve. With a valid key its verdict is MayHaveRun: the request may be a retry
-// of an attempt that ran, and only the key's home knows.
+// port.Entry.Serve. With a valid key its verdict is MayHaveRun: the request may be a
+// retry of an attempt that ran, and only the key's home knows.
 func rejectionError(r *http.Request, err error) error {
 	if _, keyErr := claims.ParseKey(r.Header.Get(HeaderKey)); keyErr != nil {
 		return err
