--- a/internal/adapter/callerhttp/doc.go
+++ b/internal/adapter/callerhttp/doc.go
@@ -10,7 +10,9 @@
 //
 // Failures of the first three are problem documents (RFC 9457) with a verdict,
 // which states whether the request may have run on an endpoint. Unknown paths and
-// methods get the plain errors of the router. A once-only
-// request is one that must not run twice; it carries a key, and the entry VM named
-// in the key (its home) knows the outcome of its earlier attempts.
+// methods get the plain errors of the router.
+//
+// A once-only request is one that must not run twice. It carries a key; the entry VM
+// named in the key (the key's home) knows the outcome of the request's earlier
+// attempts.
 package callerhttp
--- a/internal/adapter/callerhttp/handler_test.go
+++ b/internal/adapter/callerhttp/handler_test.go
@@ -221,7 +221,7 @@
 	is.Equal(f.served.Target, "/")
 }
 
-// failingBody is a streamed body that its Reader ends with an error.
+// failingBody is a streamed body whose Reader ends with an error.
 type failingBody struct{ io.Reader }
 
 func (failingBody) Close() error { return nil }
@@ -254,7 +254,8 @@
 	is.True(response.Close)
 }
 
-// TestHealth guards against a process that isn't ready being reported as not alive.
+// TestHealth guards against a process that isn't ready being reported as ready or as
+// not alive.
 func TestHealth(t *testing.T) {
 	is := is.New(t)
 	server := newServer(t, &fakeEntry{err: errors.New("not ready")})
--- a/internal/adapter/endpointhttp/body.go
+++ b/internal/adapter/endpointhttp/body.go
@@ -61,8 +61,8 @@
 	x    *exchange
 	in   *response
 	left int64
-	// err is the error of all further calls of Read; nil before the end of the
-	// body.
+	// err is returned by all further calls of Read; nil until the body has ended or
+	// failed.
 	err error
 }
 
--- a/internal/adapter/endpointhttp/dialect.go
+++ b/internal/adapter/endpointhttp/dialect.go
@@ -24,8 +24,8 @@
 	IncarnationHeader string
 	// NotRun reports whether a response states that the request was not run.
 	NotRun func(status int, h http.Header) bool
-	// Check returns an error for a response that must not be accepted. A nil func
-	// accepts all.
+	// Check returns an error for a response that an endpoint wouldn't send, such as
+	// one of an intermediary; the response is rejected. A nil func accepts all.
 	Check func(status int, h http.Header) error
 }
 
--- a/internal/adapter/endpointhttp/doc.go
+++ b/internal/adapter/endpointhttp/doc.go
@@ -3,10 +3,9 @@
 // (package verdict).
 //
 // The package manages its own connections; net/http only writes requests and
-// parses responses. http.Transport is not used because it retries without notice
-// when a reused connection closes before a response: idempotent methods, and any
-// request with an Idempotency-Key header. Here, a call writes its request at most
-// once.
+// parses responses. http.Transport is not used: when a reused connection closes
+// before the response, it silently retries requests with an idempotent method or an
+// Idempotency-Key header. Here, a call writes its request at most once.
 //
 // A connection carries one request at a time. It is closed after a cancellation,
 // a timeout, a protocol error or unexpected bytes. Responses must echo the ID of
--- a/internal/adapter/endpointhttp/errors.go
+++ b/internal/adapter/endpointhttp/errors.go
@@ -46,7 +46,7 @@
 	return verdict.NewError(verdict.MayHaveRun, reasonOf(ctx, reason), cause(ctx, wrapConnectionLost(err)))
 }
 
-// reasonOf returns the reason why ctx ended; if it hasn't, the given reason.
+// reasonOf returns the reason why ctx ended, or the given reason if it hasn't ended.
 func reasonOf(ctx context.Context, reason verdict.Reason) verdict.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -58,8 +58,8 @@
 	}
 }
 
-// cause adds the error of ctx, if it has ended, to err, which is then probably a
-// consequence.
+// cause adds the error of ctx to err if ctx has ended, because err is then probably
+// a consequence of that.
 func cause(ctx context.Context, err error) error {
 	if ctx.Err() == nil {
 		return err
--- a/internal/adapter/endpointhttp/exchange.go
+++ b/internal/adapter/endpointhttp/exchange.go
@@ -102,12 +102,12 @@
 			return nil, fmt.Errorf("%w: %d", ErrUnexpectedStatus, in.StatusCode)
 		}
 	}
-	return nil, fmt.Errorf("%w: more than %d interim responses", ErrUnexpectedStatus, maxInterim)
+	return nil, fmt.Errorf("%w: no final response after %d interim responses", ErrUnexpectedStatus, maxInterim)
 }
 
 // classifyHeadError classifies a failure to read the head of a response:
-// ReasonConnection for a closed connection or a network error, ReasonBadAnswer for
-// malformed data.
+// ReasonConnection for a closed connection or a network error, otherwise
+// ReasonBadAnswer.
 func classifyHeadError(err error) verdict.Reason {
 	var timeout interface{ Timeout() bool }
 	if ConnectionReset(err) || errors.As(err, &timeout) {
@@ -162,8 +162,7 @@
 }
 
 // finish ends an exchange after a complete response. The connection is kept for
-// reuse unless the endpoint closes it, unread bytes follow the response, or ctx
-// has ended.
+// reuse unless in.close is set, unread bytes follow the response, or ctx has ended.
 func (x *exchange) finish(in *response) {
 	x.end(!in.close && x.conn.reader.Buffered() == 0, x.caller.opts.Clock.Now())
 }
--- a/internal/adapter/endpointhttp/failure_test.go
+++ b/internal/adapter/endpointhttp/failure_test.go
@@ -65,9 +65,9 @@
 }
 
 // TestFailurePoints guards against a wrong verdict: NotRun although the endpoint ran
-// a once-only request, or MayHaveRun although it certainly did not. It makes the
-// request fail at each step on a real socket and checks the verdict and the number
-// of runs at the endpoint.
+// a once-only request, or MayHaveRun although nothing was sent or the endpoint shed
+// the request. It makes the request fail at each step on a real socket and checks
+// the verdict and the number of runs at the endpoint.
 func TestFailurePoints(t *testing.T) {
 	const notRun, may, ran = verdict.NotRun, verdict.MayHaveRun, verdict.Ran
 	const shedHead = "503 Shed\r\n%sSassafrasreach-Shed: true\r\nContent-Length: 0\r\n\r\n"
--- a/internal/adapter/endpointhttp/header.go
+++ b/internal/adapter/endpointhttp/header.go
@@ -8,8 +8,8 @@
 
 const (
 	// HeaderRequestID carries the ID of the exchange to the endpoint and back: the
-	// ID of the request, a dot and a random part. An ID that isn't printable ASCII
-	// without spaces is left out.
+	// ID of the request, a dot and a random part. If the request's ID has a space or
+	// a byte that isn't printable ASCII, only the random part is sent.
 	HeaderRequestID = "Sassafrasreach-Request-Id"
 	// HeaderTimeout carries the time until the deadline, in milliseconds.
 	HeaderTimeout = "Sassafrasreach-Timeout-Ms"
--- a/internal/adapter/endpointhttp/options.go
+++ b/internal/adapter/endpointhttp/options.go
@@ -36,7 +36,7 @@
 	// reused for a once-only request.
 	OnceOnlyMaxIdle time.Duration
 	// IdleTimeout is how long after its last response a connection may be reused
-	// for an idempotent request. Sweep closes connections that are idle for longer.
+	// for any other request. Sweep closes connections that are idle for longer.
 	IdleTimeout time.Duration
 	// UserTimeout limits how long sent data may stay unacknowledged, on kernels
 	// with TCP_USER_TIMEOUT (RFC 5482).
@@ -78,8 +78,8 @@
 	}
 }
 
-// newDialer returns a dialer whose connections detect an unreachable peer by
-// keep-alive probes and, where available, by TCP_USER_TIMEOUT.
+// newDialer returns a dialer whose connections detect an unreachable peer quickly,
+// by keep-alive probes and, where available, by TCP_USER_TIMEOUT.
 func newDialer(userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
--- a/internal/adapter/endpointhttp/pool.go
+++ b/internal/adapter/endpointhttp/pool.go
@@ -50,9 +50,10 @@
 func (p *pool) release() { <-p.inUse }
 
 // reuse returns an idle connection that was last alive within maxAge. It checks the
-// last returned connections first, closes those that aren't usable, and stops at the
-// first one that is too old. If it finds none, it returns nil and ensures that a new
-// connection keeps the pool within its limit. The caller must have called acquire.
+// most recently returned connections first, closes those that aren't usable, and
+// stops at the first one that is too old. If it finds none, it returns nil and
+// ensures that a new connection keeps the pool within its limit. The caller must
+// have called acquire.
 func (p *pool) reuse(now time.Time, maxAge time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/adapter/endpointhttp/reuse_test.go
+++ b/internal/adapter/endpointhttp/reuse_test.go
@@ -69,8 +69,8 @@
 }
 
 // TestLateAndDuplicateResponses guards against a call receiving the response of an
-// earlier call on the same connection, when that response arrives after its
-// deadline or twice.
+// earlier call to the same endpoint, when that response arrives after the earlier
+// call's deadline or arrives twice.
 func TestLateAndDuplicateResponses(t *testing.T) {
 	var first string
 	respond := func(c *net.TCPConn, id, body string) {
@@ -203,8 +203,8 @@
 // TestSilentConnections guards against many failed once-only requests when a
 // middlebox silently drops the packets of established connections. It counts the
 // failed requests over http.Transport, and over a Caller whose connections last
-// delivered a response some time ago: at most one request may fail, and none once
-// the connections are older than OnceOnlyMaxIdle.
+// delivered a response some time ago: only one request may fail, and none if that
+// time exceeds OnceOnlyMaxIdle.
 func TestSilentConnections(t *testing.T) {
 	const pooled, requests = 4, 8
 	e := newEndpoint(t, echoBody)
--- a/internal/adapter/idleconns/idleconns.go
+++ b/internal/adapter/idleconns/idleconns.go
@@ -31,7 +31,8 @@
 	idle map[net.Conn]idleState
 }
 
-// idleState is since when a connection is idle, and whether it had a response.
+// idleState holds the time since when a connection has been idle, and whether a
+// response has been sent on it.
 type idleState struct {
 	since     time.Time
 	responded bool
--- a/internal/adapter/logsink/sink.go
+++ b/internal/adapter/logsink/sink.go
@@ -1,10 +1,10 @@
-// Package logsink decides which log records are written, so that logging never
-// blocks.
+// Package logsink buffers log records and drops those beyond its limits, so that
+// logging never blocks.
 //
 // Records go into a bounded buffer that one goroutine writes to the output. Records
 // that don't fit because the output is too slow, or that exceed the rate limit (a
-// token bucket of bytes), are dropped and counted. The process logs the number,
-// which Dropped returns, in a later record.
+// token bucket of bytes), are dropped and counted. The process logs the number that
+// Dropped returns in a later record.
 package logsink
 
 import (
@@ -17,8 +17,8 @@
 const (
 	// bufferBytes limits the records that are buffered for a slow output.
 	bufferBytes = 256 << 10
-	// flushPeriod is the delay of a write, which batches records: each write costs a
-	// system call.
+	// flushPeriod delays each write so that it contains several records, because
+	// each write costs a system call.
 	flushPeriod = 100 * time.Millisecond
 	// bytesPerSecond is the rate and the burst of the token bucket. It limits the
 	// volume under load to about 150 records a second.
--- a/internal/adapter/metrics/meter.go
+++ b/internal/adapter/metrics/meter.go
@@ -12,7 +12,7 @@
 
 const (
 	// sampleSize and sampleAlpha configure the exponentially decaying reservoir of a
-	// histogram: about a thousand samples, weighted to the last five minutes.
+	// histogram: about a thousand samples, weighted towards the last five minutes.
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
--- a/internal/contract/grpc_test.go
+++ b/internal/contract/grpc_test.go
@@ -17,7 +17,7 @@
 )
 
 // refusingServer is a raw HTTP/2 server that reads each request completely, as a
-// server does that runs it, and then refuses its stream.
+// server that runs requests does, and then refuses its stream.
 type refusingServer struct {
 	received atomic.Int64
 	refuse   func(f *http2.Framer, stream uint32) error
--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// updateEntries replaces the known entry VMs: first the current one, then those of
-// the answer, then those of the configuration.
+// updateEntries replaces the list of known entry VMs by the current one, those of
+// the answer and those of the configuration, in this order.
 func (a *announcer) updateEntries(answer port.AnnounceAnswer) {
 	current := a.entries[a.next%len(a.entries)]
 	merged := []string{current}
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -21,8 +21,8 @@
 	// Connections isn't enforced.
 	Slots       int
 	Connections int
-	// Work is the duration of a request. After the start, Cold is added to it; this
-	// addition decreases linearly to zero over Warmup.
+	// Work is the duration of a request. At the start of the process, Cold is added
+	// to it; the addition decreases linearly to zero over Warmup.
 	Work   time.Duration
 	Cold   time.Duration
 	Warmup time.Duration
--- a/internal/testlink/link.go
+++ b/internal/testlink/link.go
@@ -102,7 +102,8 @@
 	l.cut = d
 }
 
-// Heal ends the effects of Cut and FailNext.
+// Heal ends Cut and FailNext. Connections that lost bytes or that were accepted with
+// a fault are not repaired.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testlink/pair.go
+++ b/internal/testlink/pair.go
@@ -28,8 +28,8 @@
 	dropping  bool
 }
 
-// chunk is data to be delivered at a time. Without data it is the sender's end of
-// file or, with reset, a reset of the connection.
+// chunk is data and the time at which it is due for delivery. Without data it is the
+// sender's end of file or, with reset, a reset of the connection.
 type chunk struct {
 	due   time.Time
 	data  []byte
