--- a/internal/adapter/operatorhttp/auth.go
+++ b/internal/adapter/operatorhttp/auth.go
@@ -12,27 +12,27 @@
 	"sassafrasreach/internal/port"
 )
 
-// BootstrapOperator is the operator's name in the audit trail of the change
-// that was made with the bootstrap token.
+// BootstrapOperator is the operator's name that the audit trail shows for the
+// change that was made with the bootstrap token.
 const BootstrapOperator = "bootstrap"
 
-// session is an authenticated request's operator, and the document in the
-// register that says so, as text and as parsed. The parsed one is shared and
-// must not be altered; without a version it is empty.
+// session holds the operator of an authenticated request and the document
+// against which the token was checked, as text and parsed. The parsed document
+// is shared and must not be modified; it is empty when the version is 0.
 type session struct {
 	operator string
 	config   port.Config
 	document *document.Document
 }
 
-// authenticated calls next for requests that carry the token of an operator.
-// The token is judged by a quorum's newest document, never by a stale one: a
-// removed operator stays removed on an isolated VM.
+// authenticated calls next for requests with the token of an operator. It checks
+// the token against the newest document of a quorum, never a stale one: an
+// isolated VM must not accept the token of a removed operator.
 func (h *handler) authenticated(next func(http.ResponseWriter, *http.Request, session)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, ok := bearer(r)
 		if !ok {
-			writeProblem(w, newProblem(http.StatusUnauthorized, CodeUnauthorized, "a bearer token is needed; ctl sends that of -token-file"))
+			writeProblem(w, newProblem(http.StatusUnauthorized, CodeUnauthorized, "the request has no bearer token in its Authorization header; ctl sends the token in the file that -token-file names"))
 			return
 		}
 		s, problem := h.authenticate(r.Context(), token)
@@ -44,28 +44,28 @@
 	}
 }
 
-// authenticate finds the operator of a token.
+// authenticate returns the session of the operator with the token.
 func (h *handler) authenticate(ctx context.Context, token string) (session, *Problem) {
 	config, err := h.Store.Current(ctx)
 	if err != nil {
 		return session{}, readProblem(err)
 	}
-	doc, err := h.parsed.get(config)
+	doc, err := h.documents.parse(config)
 	if err != nil {
 		event.Log(context.Background(), h.Logger, event.RegisterUnreadable, slog.Any("version", config.Version), slog.Any("error", err))
-		return session{}, newProblem(http.StatusInternalServerError, CodeInternal, "the document in the register can't be read; see this control VM's log")
+		return session{}, newProblem(http.StatusInternalServerError, CodeInternal, "this control VM cannot parse the document in the register; see its log")
 	}
 	operator := h.operatorOf(config, doc, document.Digest([]byte(token)))
 	if operator == "" {
 		event.Log(context.Background(), h.Logger, event.TokenRefused, slog.Any("version", config.Version))
 		return session{}, newProblem(http.StatusUnauthorized, CodeUnauthorized,
-			"the token isn't of an operator in the document in force; a resend of a change that replaced the token needs the new token and the same change ID")
+			"the token doesn't belong to an operator in the document in force; to resend a change that replaced the token, use the new token and the same change ID")
 	}
 	return session{operator: operator, config: config, document: doc}, nil
 }
 
 // operatorOf returns the name of the operator whose token has the hash, or an
-// empty name. Hashes are compared in constant time.
+// empty string. Hashes are compared in constant time.
 func (h *handler) operatorOf(config port.Config, doc *document.Document, hash string) string {
 	if config.Version == 0 {
 		if equalHash(h.BootstrapTokenSHA256, hash) {
--- a/internal/adapter/operatorhttp/change.go
+++ b/internal/adapter/operatorhttp/change.go
@@ -17,7 +17,7 @@
 
 func (h *handler) getDocument(w http.ResponseWriter, _ *http.Request, s session) {
 	if s.config.Version == 0 {
-		writeProblem(w, newProblem(http.StatusNotFound, CodeNotFound, noDocument))
+		writeProblem(w, newProblem(http.StatusNotFound, CodeNotFound, noDocumentDetail))
 		return
 	}
 	w.Header().Set("Content-Type", "application/yaml")
@@ -30,12 +30,13 @@
 func (h *handler) putDocument(w http.ResponseWriter, r *http.Request, s session) {
 	base, err := strconv.ParseUint(r.URL.Query().Get(QueryBase), 10, 64)
 	if err != nil {
-		writeProblem(w, newProblem(http.StatusBadRequest, CodeBadRequest, "the query needs base, the version that the change was made from; 0 for the first document"))
+		writeProblem(w, newProblem(http.StatusBadRequest, CodeBadRequest, "the query parameter base must be the version that the change was made from, 0 for the first document"))
 		return
 	}
 	if base > s.config.Version {
-		// The token was judged by an older version than the change is made from.
-		writeProblem(w, outcomeProblem(conflictWith(r.Header.Get(HeaderChangeID), s.config)))
+		// The token was checked against an older version than the change's base,
+		// so a version that removed the operator could be missed.
+		writeProblem(w, outcomeProblem(conflictOutcome(r.Header.Get(HeaderChangeID), s.config)))
 		return
 	}
 	text, problem := readBody(w, r)
@@ -51,14 +52,15 @@
 	})
 }
 
-// conflictWith returns the outcome of a change that can't follow the version.
-func conflictWith(id string, config port.Config) port.Outcome {
+// conflictOutcome returns the outcome of a change whose base isn't the version in
+// config.
+func conflictOutcome(id string, config port.Config) port.Outcome {
 	return port.Outcome{ChangeID: id, State: port.ChangeConflict, Version: config.Version, Digest: config.Digest}
 }
 
-// submit validates and submits a change and writes its outcome.
+// submit validates and submits a change and writes its outcome as the response.
 func (h *handler) submit(w http.ResponseWriter, r *http.Request, change port.Change) {
-	outcome, problem := h.decide(r.Context(), change)
+	outcome, problem := h.validateAndSubmit(r.Context(), change)
 	if problem != nil {
 		writeProblem(w, problem)
 		return
@@ -66,27 +68,28 @@
 	writeJSON(w, outcome)
 }
 
-// decide validates and submits a change. Only an accepted change has no
-// problem.
-func (h *handler) decide(ctx context.Context, change port.Change) (port.Outcome, *Problem) {
+// validateAndSubmit validates and submits a change. The problem is nil only for
+// an accepted change.
+func (h *handler) validateAndSubmit(ctx context.Context, change port.Change) (port.Outcome, *Problem) {
 	if !validChangeID(change.ID) {
 		return port.Outcome{}, changeIDProblem()
 	}
 	if faults := document.FaultsOf(change.Document); len(faults) > 0 {
-		h.refuse(ctx, change)
+		h.recordInvalid(ctx, change)
 		return port.Outcome{}, invalidProblem(faults)
 	}
 	outcome, err := h.Store.Submit(ctx, change)
-	return h.ended(change.ID, change.Operator, outcome, err)
+	return h.finishChange(change.ID, change.Operator, outcome, err)
 }
 
-// ended logs how a change or a lift ended, and returns its outcome and problem.
-func (h *handler) ended(id, operator string, outcome port.Outcome, err error) (port.Outcome, *Problem) {
+// finishChange logs the outcome of a change or a quarantine lift and returns it,
+// with its problem. An error that leaves the outcome open becomes ChangeUnknown.
+func (h *handler) finishChange(id, operator string, outcome port.Outcome, err error) (port.Outcome, *Problem) {
 	if errors.Is(err, port.ErrNoQuorum) {
-		return port.Outcome{}, newProblem(http.StatusServiceUnavailable, CodeNoQuorum, "too few control VMs answer; nothing was proposed; see to them and send it again")
+		return port.Outcome{}, newProblem(http.StatusServiceUnavailable, CodeNoQuorum, "too few control VMs responded for a quorum, so nothing was proposed; restore them and send the change again")
 	}
 	if errors.Is(err, register.ErrChangeIDReused) {
-		return port.Outcome{}, newProblem(http.StatusConflict, CodeIDReused, "the change ID belongs to another change; nothing was changed by this one; send it with a new ID")
+		return port.Outcome{}, newProblem(http.StatusConflict, CodeIDReused, "the change ID was already used for another change; this change was not applied; send it with a new ID")
 	}
 	if err != nil {
 		event.Log(context.Background(), h.Logger, event.ChangeUndecided, slog.Any("change", id), slog.Any("operator", operator), slog.Any("error", err))
@@ -96,8 +99,8 @@
 	return outcome, outcomeProblem(outcome)
 }
 
-// refuse records a change that has faults.
-func (h *handler) refuse(ctx context.Context, change port.Change) {
+// recordInvalid logs a change with faults and adds it to the audit trail.
+func (h *handler) recordInvalid(ctx context.Context, change port.Change) {
 	event.Log(context.Background(), h.Logger, event.ChangeRefused, slog.Any("change", change.ID), slog.Any("operator", change.Operator), slog.Any("state", port.ChangeInvalid))
 	if h.RecordRefused == nil {
 		return
@@ -107,7 +110,8 @@
 	}
 }
 
-// outcomeProblem returns the problem of an outcome, nil when it was accepted.
+// outcomeProblem returns the problem of an outcome, or nil when the change was
+// accepted or the quarantine lifted.
 func outcomeProblem(outcome port.Outcome) *Problem {
 	var p *Problem
 	switch outcome.State {
@@ -116,7 +120,7 @@
 	case port.ChangeConflict:
 		p = newProblem(http.StatusConflict, CodeConflict, conflictDetail(outcome))
 	case port.ChangeInvalid:
-		p = newProblem(http.StatusUnprocessableEntity, CodeInvalid, "the document has faults")
+		p = newProblem(http.StatusUnprocessableEntity, CodeInvalid, "the change was refused because its document has faults")
 	default:
 		p = newProblem(http.StatusGatewayTimeout, CodeUnknown, "the change may have been accepted; resend it with the same change ID")
 	}
@@ -125,7 +129,7 @@
 }
 
 func conflictDetail(outcome port.Outcome) string {
-	detail := fmt.Sprintf("version %d (digest %.12s) is in the register", outcome.Version, outcome.Digest)
+	detail := fmt.Sprintf("the register holds version %d (digest %.12s)", outcome.Version, outcome.Digest)
 	if outcome.Operator != "" {
 		detail += ", made by " + outcome.Operator
 	}
@@ -174,26 +178,27 @@
 	writeJSON(w, Comparison{Version: s.config.Version, Differences: differences})
 }
 
-// readBody reads a document's text.
+// readBody reads the text of a document from the request body.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *Problem) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, document.MaxTextBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, newProblem(http.StatusRequestEntityTooLarge, CodeTooLarge,
-			fmt.Sprintf("a document has at most %d bytes", document.MaxTextBytes))
+			fmt.Sprintf("the body exceeds the maximum of %d bytes for a document", document.MaxTextBytes))
 	}
 	if err != nil {
-		return nil, newProblem(http.StatusBadRequest, CodeBadRequest, "the body can't be read: "+err.Error())
+		return nil, newProblem(http.StatusBadRequest, CodeBadRequest, "cannot read the request body: "+err.Error())
 	}
 	return text, nil
 }
 
 func changeIDProblem() *Problem {
 	return newProblem(http.StatusBadRequest, CodeBadRequest,
-		fmt.Sprintf("the header %s needs an ID of 1 to %d visible ASCII characters", HeaderChangeID, MaxChangeIDBytes))
+		fmt.Sprintf("the header %s must be an ID of 1 to %d visible ASCII characters", HeaderChangeID, MaxChangeIDBytes))
 }
 
-// validChangeID says whether an ID is visible ASCII of a bounded length.
+// validChangeID reports whether an ID has 1 to MaxChangeIDBytes visible ASCII
+// characters.
 func validChangeID(id string) bool {
 	if id == "" || len(id) > MaxChangeIDBytes {
 		return false
--- a/internal/adapter/operatorhttp/console.go
+++ b/internal/adapter/operatorhttp/console.go
@@ -9,7 +9,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// consoleBackend gives the console the same decisions as the other requests.
+// consoleBackend implements console.Backend with the handler's own checks, so
+// that the console and the HTTP interface decide alike.
 type consoleBackend struct {
 	h *handler
 }
@@ -25,7 +26,7 @@
 
 // Submit implements console.Backend.
 func (b consoleBackend) Submit(ctx context.Context, change port.Change) (port.Outcome, document.Faults, error) {
-	outcome, problem := b.h.decide(ctx, change)
+	outcome, problem := b.h.validateAndSubmit(ctx, change)
 	switch {
 	case problem == nil:
 		return outcome, nil, nil
@@ -43,7 +44,7 @@
 	return b.h.Store.Status(ctx)
 }
 
-// consoleError is the console's error of a problem.
+// consoleError converts a problem to an error that the console distinguishes.
 func consoleError(p *Problem) error {
 	switch p.Code {
 	case CodeUnauthorized:
--- a/internal/adapter/operatorhttp/contract_test.go
+++ b/internal/adapter/operatorhttp/contract_test.go
@@ -23,11 +23,11 @@
 
 const token = "demo-token"
 
-// crashing is the fingerprint of a request in quarantine.
-var crashing = document.Digest([]byte("crashing request"))
+// crashFingerprint is the fingerprint that the tests lift from quarantine.
+var crashFingerprint = document.Digest([]byte("crashing request"))
 
-// demo returns the text of the small example.
-func demo(t *testing.T) string {
+// demoText returns the text of the demo document.
+func demoText(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../../examples/demo.yaml")
 	is.New(t).NoErr(err)
@@ -42,7 +42,7 @@
 	})
 }
 
-// call sends one request and returns the recorded answer.
+// call sends one request and returns the recorded response.
 func call(h http.Handler, method, target, token, id, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
 	if token != "" {
@@ -56,12 +56,13 @@
 	return w
 }
 
-// started returns a store that has the demo document as version 1.
-func started(t *testing.T) (*porttest.Store, http.Handler) {
+// startWithDemo returns a store with the demo document as version 1, and a
+// handler that serves it.
+func startWithDemo(t *testing.T) (*porttest.Store, http.Handler) {
 	t.Helper()
 	store := &porttest.Store{}
 	h := newHandler(store)
-	w := call(h, "PUT", "/v1/document?base=0", "first", "start", demo(t))
+	w := call(h, "PUT", "/v1/document?base=0", "first", "start", demoText(t))
 	is.New(t).Equal(w.Code, http.StatusOK)
 	return store, h
 }
@@ -77,7 +78,8 @@
 	return p.Code
 }
 
-func TestContractGood(t *testing.T) {
+// TestContractAccepted checks the status and body of each route when it succeeds.
+func TestContractAccepted(t *testing.T) {
 	drain := `{"place":"norte-a","reason":"repair"}`
 	cases := []struct {
 		name, method, target, id, body string
@@ -94,20 +96,22 @@
 		{"diff", "POST", "/v1/diff", "", "DEMO", 200, `"differences":[]`},
 		{"audit", "GET", "/v1/audit", "", "", 200, `"operator":"bootstrap"`},
 		{"drain", "POST", "/v1/drains", "x", drain, 200, `"version":2`},
-		{"lift", "DELETE", "/v1/quarantine/" + crashing, "", "", 204, ""},
+		{"lift", "DELETE", "/v1/quarantine/" + crashFingerprint, "", "", 204, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, h := started(t)
-			w := call(h, c.method, c.target, token, c.id, strings.Replace(c.body, "DEMO", demo(t), 1))
+			_, h := startWithDemo(t)
+			w := call(h, c.method, c.target, token, c.id, strings.Replace(c.body, "DEMO", demoText(t), 1))
 			is.Equal(w.Code, c.status)
 			is.True(strings.Contains(w.Body.String(), c.contains)) // w.Body
 		})
 	}
 }
 
-func TestContractBad(t *testing.T) {
+// TestContractRefused checks the status and code of each kind of failure: operators'
+// tools rely on both.
+func TestContractRefused(t *testing.T) {
 	drain := `{"place":"norte-a","reason":"repair"}`
 	noQuorum := func(s *porttest.Store) { s.NoQuorum = true }
 	lost := func(s *porttest.Store) { s.LoseAnswers = 1 }
@@ -126,12 +130,12 @@
 		{"no change ID", "PUT", "/v1/document?base=1", "", "DEMO", nil, 400, operatorhttp.CodeBadRequest},
 		{"bad change ID", "PUT", "/v1/document?base=1", "a b", "DEMO", nil, 400, operatorhttp.CodeBadRequest},
 		{"older base", "PUT", "/v1/document?base=0", "x", "DEMO", nil, 409, operatorhttp.CodeConflict},
-		{"base to come", "PUT", "/v1/document?base=2", "x", "DEMO", nil, 409, operatorhttp.CodeConflict},
+		{"base newer than the register", "PUT", "/v1/document?base=2", "x", "DEMO", nil, 409, operatorhttp.CodeConflict},
 		{"faults", "PUT", "/v1/document?base=1", "x", "regions: []\n", nil, 422, operatorhttp.CodeInvalid},
 		{"not YAML", "PUT", "/v1/document?base=1", "x", "{", nil, 422, operatorhttp.CodeInvalid},
 		{"too large", "PUT", "/v1/document?base=1", "x", strings.Repeat("#", document.MaxTextBytes+1), nil, 413, operatorhttp.CodeTooLarge},
 		{"no quorum", "PUT", "/v1/document?base=1", "x", "DEMO", noQuorum, 503, operatorhttp.CodeNoQuorum},
-		{"answer lost", "PUT", "/v1/document?base=1", "x", "DEMO", lost, 504, operatorhttp.CodeUnknown},
+		{"response lost", "PUT", "/v1/document?base=1", "x", "DEMO", lost, 504, operatorhttp.CodeUnknown},
 		{"quorum lost at the decision", "PUT", "/v1/document?base=1", "x", "DEMO", fails(port.ErrNoQuorum), 503, operatorhttp.CodeNoQuorum},
 		{"ID of another change", "PUT", "/v1/document?base=1", "x", "DEMO", fails(register.ErrChangeIDReused), 409, operatorhttp.CodeIDReused},
 		{"decision fails", "PUT", "/v1/document?base=1", "x", "DEMO", fails(errors.New("torn")), 504, operatorhttp.CodeUnknown},
@@ -145,39 +149,39 @@
 		{"drain with more", "POST", "/v1/drains", "x", `{"place":"norte-a","until":"8"}`, nil, 400, operatorhttp.CodeBadRequest},
 		{"two drains", "POST", "/v1/drains", "x", drain + drain, nil, 400, operatorhttp.CodeBadRequest},
 		{"no drain", "DELETE", "/v1/drains?place=norte-a", "x", "", nil, 404, operatorhttp.CodeNotFound},
-		{"lift without quorum", "DELETE", "/v1/quarantine/" + crashing, "", "", noQuorum, 503, operatorhttp.CodeNoQuorum},
+		{"lift without quorum", "DELETE", "/v1/quarantine/" + crashFingerprint, "", "", noQuorum, 503, operatorhttp.CodeNoQuorum},
 		{"lift of no fingerprint", "DELETE", "/v1/quarantine/abc", "", "", nil, 400, operatorhttp.CodeBadRequest},
-		{"lift without an answer", "DELETE", "/v1/quarantine/" + crashing, "x", "", lost, 504, operatorhttp.CodeUnknown},
+		{"lift whose response is lost", "DELETE", "/v1/quarantine/" + crashFingerprint, "x", "", lost, 504, operatorhttp.CodeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			store, h := started(t)
+			store, h := startWithDemo(t)
 			if c.fault != nil {
 				c.fault(store)
 			}
-			w := call(h, c.method, c.target, token, c.id, strings.Replace(c.body, "DEMO", demo(t), 1))
+			w := call(h, c.method, c.target, token, c.id, strings.Replace(c.body, "DEMO", demoText(t), 1))
 			is.Equal(w.Code, c.status)
 			is.Equal(code(t, w), c.code)
 		})
 	}
 }
 
-// TestNothingWithoutToken sends every request that reads or changes the
-// document without a token, with a wrong one, and with the bootstrap token
-// after there is a document.
-func TestNothingWithoutToken(t *testing.T) {
+// TestProtectedRoutesNeedOperatorToken guards against a protected route that
+// accepts a request without a token, with a wrong token, with a token's hash, or
+// with the bootstrap token after the first document was applied.
+func TestProtectedRoutesNeedOperatorToken(t *testing.T) {
 	requests := []struct{ method, target string }{
 		{"GET", "/v1/document"}, {"PUT", "/v1/document?base=1"}, {"POST", "/v1/validate"},
 		{"POST", "/v1/diff"}, {"GET", "/v1/audit"}, {"POST", "/v1/drains"},
-		{"DELETE", "/v1/drains?place=norte-a"}, {"DELETE", "/v1/quarantine/" + crashing},
+		{"DELETE", "/v1/drains?place=norte-a"}, {"DELETE", "/v1/quarantine/" + crashFingerprint},
 	}
 	for _, r := range requests {
 		for _, wrong := range []string{"", "other", "first", document.Digest([]byte(token))} {
 			t.Run(r.method+r.target+wrong, func(t *testing.T) {
 				is := is.New(t)
-				store, h := started(t)
-				w := call(h, r.method, r.target, wrong, "x", demo(t))
+				store, h := startWithDemo(t)
+				w := call(h, r.method, r.target, wrong, "x", demoText(t))
 				is.Equal(w.Code, http.StatusUnauthorized)
 				is.Equal(code(t, w), operatorhttp.CodeUnauthorized)
 				config, err := store.Current(t.Context())
@@ -189,23 +193,26 @@
 	}
 }
 
-func TestBootstrapNeedsItsToken(t *testing.T) {
+// TestFirstDocumentNeedsBootstrapToken guards against a first document that is
+// applied with another token, or when no bootstrap token is set.
+func TestFirstDocumentNeedsBootstrapToken(t *testing.T) {
 	is := is.New(t)
 	store := &porttest.Store{}
-	w := call(newHandler(store), "PUT", "/v1/document?base=0", token, "x", demo(t))
+	w := call(newHandler(store), "PUT", "/v1/document?base=0", token, "x", demoText(t))
 	is.Equal(w.Code, http.StatusUnauthorized)
 	without := operatorhttp.New(operatorhttp.Options{Store: store, Logger: slog.New(slog.DiscardHandler)})
-	w = call(without, "PUT", "/v1/document?base=0", "first", "x", demo(t))
+	w = call(without, "PUT", "/v1/document?base=0", "first", "x", demoText(t))
 	is.Equal(w.Code, http.StatusUnauthorized)
 	_, err := io.Copy(io.Discard, w.Body)
 	is.NoErr(err)
 }
 
-// TestLostAnswerThenResend checks that a resend gets the first outcome, of a
-// whole document and of a drain whose document has moved on.
-func TestLostAnswerThenResend(t *testing.T) {
+// TestResendAfterLostResponse guards against a drain that is made twice: its
+// response is lost, and it is resent with the same change ID, also after a later
+// change has removed the drain.
+func TestResendAfterLostResponse(t *testing.T) {
 	is := is.New(t)
-	store, h := started(t)
+	store, h := startWithDemo(t)
 	store.LoseAnswers = 1
 	drain := `{"place":"norte-a","reason":"repair"}`
 	is.Equal(call(h, "POST", "/v1/drains", token, "d1", drain).Code, http.StatusGatewayTimeout)
@@ -221,28 +228,29 @@
 	is.Equal(config.Version, uint64(3))
 }
 
-// TestRemovedOperatorCantRace removes the operator between the judging of the
-// token and the decision, while the change names the version to come.
-func TestRemovedOperatorCantRace(t *testing.T) {
+// TestRemovedOperatorCannotChangeDocument guards against a change by an operator
+// whose token is replaced after it was checked and before the change is decided. A
+// change based on a version that is still to come must be refused as well.
+func TestRemovedOperatorCannotChangeDocument(t *testing.T) {
 	is := is.New(t)
-	store, h := started(t)
+	store, h := startWithDemo(t)
 	store.BeforeSubmit = func() { t.Error("the change was submitted") }
-	w := call(h, "PUT", "/v1/document?base=2", token, "x", demo(t))
+	w := call(h, "PUT", "/v1/document?base=2", token, "x", demoText(t))
 	is.Equal(w.Code, http.StatusConflict)
 
-	removed := strings.Replace(demo(t), document.Digest([]byte(token)), document.Digest([]byte("new")), 1)
+	removed := strings.Replace(demoText(t), document.Digest([]byte(token)), document.Digest([]byte("new")), 1)
 	store.BeforeSubmit = func() {
 		_, err := store.Submit(t.Context(), port.Change{ID: "remove", BaseVersion: 1, Document: []byte(removed)})
 		is.NoErr(err)
 	}
-	w = call(h, "PUT", "/v1/document?base=1", token, "y", demo(t))
+	w = call(h, "PUT", "/v1/document?base=1", token, "y", demoText(t))
 	is.Equal(w.Code, http.StatusConflict)
 	is.Equal(call(h, "GET", "/v1/document", token, "", "").Code, http.StatusUnauthorized)
 }
 
-// TestRefusedChangeIsRecorded checks that a change with faults reaches the
-// audit trail's hook and not the register.
-func TestRefusedChangeIsRecorded(t *testing.T) {
+// TestInvalidChangeIsRecorded guards against a change with faults that is missing
+// from the audit trail. It stays refused when recording it fails.
+func TestInvalidChangeIsRecorded(t *testing.T) {
 	is := is.New(t)
 	var refused []port.Change
 	h := operatorhttp.New(operatorhttp.Options{
--- a/internal/adapter/operatorhttp/doc.go
+++ b/internal/adapter/operatorhttp/doc.go
@@ -1,8 +1,13 @@
-// Package operatorhttp serves the operators' interface over HTTP: the document,
-// its validation and diff, drains, the audit trail, the state of the system and
-// the console. It decides nothing about versions: that is port.ConfigStore's.
+// Package operatorhttp authenticates operators, validates their changes and
+// serves their HTTP interface: the document, its validation and diff, drains,
+// quarantine lifts, the audit trail, the status of the system and the console.
+// Which change becomes the next version is decided by port.ConfigStore.
+//
+// The document is the whole configuration of the system as YAML text. The
+// register stores it, replicated over the control VMs. The document in force is
+// the newest version in the register.
 //
 // Errors are problem documents (RFC 9457) whose code is one of the Code
-// constants. What reads or changes the document needs the bearer token (RFC
-// 6750) of an operator in the document in force.
+// constants. Requests for the document, the audit trail, drains and quarantine
+// need the bearer token (RFC 6750) of an operator in the document in force.
 package operatorhttp
--- a/internal/adapter/operatorhttp/drain.go
+++ b/internal/adapter/operatorhttp/drain.go
@@ -11,7 +11,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// maxDrainBytes bounds the body of a DrainRequest.
+// maxDrainBytes is the maximum size of a DrainRequest's body.
 const maxDrainBytes = 4 << 10
 
 func (h *handler) addDrain(w http.ResponseWriter, r *http.Request, s session) {
@@ -19,17 +19,17 @@
 	decoder.DisallowUnknownFields()
 	var request DrainRequest
 	if err := decoder.Decode(&request); err != nil {
-		writeProblem(w, newProblem(http.StatusBadRequest, CodeBadRequest, "the body isn't a drain: "+err.Error()))
+		writeProblem(w, newProblem(http.StatusBadRequest, CodeBadRequest, "the body is not a valid drain: "+err.Error()))
 		return
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		writeProblem(w, newProblem(http.StatusBadRequest, CodeBadRequest, "the body goes on after the drain"))
+		writeProblem(w, newProblem(http.StatusBadRequest, CodeBadRequest, "the body has data after the drain; send one JSON object"))
 		return
 	}
 	h.editDrains(w, r, s, func(drains []document.Drain) ([]document.Drain, *Problem) {
 		for _, d := range drains {
 			if d.Place == request.Place && d.Service == request.Service {
-				return nil, newProblem(http.StatusConflict, CodeConflict, "the place is already drained; to change the reason, remove that drain first: "+d.Reason)
+				return nil, newProblem(http.StatusConflict, CodeConflict, "the place is already drained; to change the reason, remove the existing drain first; its reason is: "+d.Reason)
 			}
 		}
 		return append(drains, document.Drain(request)), nil
@@ -44,15 +44,15 @@
 			return d.Place == place && d.Service == service
 		})
 		if len(left) == len(drains) {
-			return nil, newProblem(http.StatusNotFound, CodeNotFound, "there is no such drain; GET /v1/document, or ctl get, shows those in force")
+			return nil, newProblem(http.StatusNotFound, CodeNotFound, "no such drain exists; GET /v1/document, or ctl get, shows the drains in force")
 		}
 		return left, nil
 	})
 }
 
-// editDrains submits the document in force with other drains. A resend whose
-// first outcome stands in the audit trail gets that one, because the document it
-// would be made from may have moved on since.
+// editDrains submits the document in force with the drains that alter returns. A
+// resend whose outcome is in the audit trail gets that outcome: the document in
+// force may have changed since, so a resend could differ from the first change.
 func (h *handler) editDrains(w http.ResponseWriter, r *http.Request, s session, alter func([]document.Drain) ([]document.Drain, *Problem)) {
 	id := r.Header.Get(HeaderChangeID)
 	first, found, err := h.firstOutcome(r, id)
@@ -65,7 +65,7 @@
 		return
 	}
 	if s.config.Version == 0 {
-		writeProblem(w, newProblem(http.StatusNotFound, CodeNotFound, noDocument))
+		writeProblem(w, newProblem(http.StatusNotFound, CodeNotFound, noDocumentDetail))
 		return
 	}
 	drains, problem := alter(slices.Clone(s.document.Drains))
@@ -81,7 +81,7 @@
 	h.submit(w, r, port.Change{ID: id, Operator: s.operator, BaseVersion: s.config.Version, Document: text})
 }
 
-// firstOutcome looks a change up in the audit trail.
+// firstOutcome returns the outcome that the audit trail has for a change ID.
 func (h *handler) firstOutcome(r *http.Request, id string) (port.Outcome, bool, error) {
 	records, err := h.Store.Audit(r.Context())
 	if err != nil {
--- a/internal/adapter/operatorhttp/handler.go
+++ b/internal/adapter/operatorhttp/handler.go
@@ -16,32 +16,32 @@
 // DefaultTimeout bounds the work on one request.
 const DefaultTimeout = 10 * time.Second
 
-// Options are what the handler works with.
+// Options are the dependencies and settings of the handler.
 type Options struct {
 	// Store is the register of the document.
 	Store port.ConfigStore
 	// BootstrapTokenSHA256 is the hex SHA-256 of the token that may apply the
-	// first document; empty means that nobody may. It counts only while there
-	// is no document.
+	// first document; empty means that none can be applied. It is ignored once
+	// the register holds a document.
 	BootstrapTokenSHA256 string
 	// Clock gives the time.
 	Clock port.Clock
-	// Logger takes the log; nil means slog.Default.
+	// Logger receives the log records; nil means slog.Default.
 	Logger *slog.Logger
 	// Timeout bounds the work on one request; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// RecordRefused puts a change with faults, which is never submitted, into
-	// the audit trail; nil means that it is only logged.
+	// RecordRefused adds a change with faults to the audit trail, since such a
+	// change isn't passed to Store.Submit; nil means that it is only logged.
 	RecordRefused func(ctx context.Context, change port.Change) error
 }
 
-// handler answers operators.
+// handler serves the requests of operators.
 type handler struct {
 	Options
-	parsed parsed
+	documents documentCache
 }
 
-// New returns the operators' interface, with the console at console.Path.
+// New returns the handler of the operators' interface, with the console at console.Path.
 func New(options Options) http.Handler {
 	if options.Logger == nil {
 		options.Logger = slog.Default()
@@ -54,12 +54,12 @@
 	}
 	h := &handler{Options: options}
 	r := chi.NewRouter()
-	r.Use(h.bounded)
+	r.Use(h.withTimeout)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
-		writeProblem(w, newProblem(http.StatusNotFound, CodeNotFound, "there is nothing at "+r.URL.Path+"; the paths are in docs/reference/operators-http.md"))
+		writeProblem(w, newProblem(http.StatusNotFound, CodeNotFound, "the path "+r.URL.Path+" does not exist; docs/reference/operators-http.md lists all paths"))
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, r *http.Request) {
-		writeProblem(w, newProblem(http.StatusMethodNotAllowed, CodeMethod, r.URL.Path+" has no "+r.Method))
+		writeProblem(w, newProblem(http.StatusMethodNotAllowed, CodeMethod, "the path "+r.URL.Path+" does not support the method "+r.Method))
 	})
 	r.Get("/healthz", h.healthz)
 	r.Get("/readyz", h.readyz)
@@ -76,8 +76,8 @@
 	return r
 }
 
-// bounded gives each request the handler's timeout.
-func (h *handler) bounded(next http.Handler) http.Handler {
+// withTimeout limits the context of each request to the handler's timeout.
+func (h *handler) withTimeout(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), h.Timeout)
 		defer cancel()
@@ -91,7 +91,7 @@
 	}{true})
 }
 
-// readyz says whether changes can be decided through this VM.
+// readyz reports whether this VM reaches a quorum, which changes need.
 func (h *handler) readyz(w http.ResponseWriter, r *http.Request) {
 	status, err := h.Store.Status(r.Context())
 	if err != nil {
@@ -128,10 +128,10 @@
 	writeJSON(w, records)
 }
 
-// readProblem is the problem of a read that failed.
+// readProblem returns the problem of a failed read.
 func readProblem(err error) *Problem {
 	if errors.Is(err, port.ErrNoQuorum) || errors.Is(err, context.DeadlineExceeded) {
-		return newProblem(http.StatusServiceUnavailable, CodeNoQuorum, "too few control VMs answer; see to them and ask again: "+err.Error())
+		return newProblem(http.StatusServiceUnavailable, CodeNoQuorum, "too few control VMs responded for a quorum; restore them and retry: "+err.Error())
 	}
 	return newProblem(http.StatusInternalServerError, CodeInternal, err.Error())
 }
--- a/internal/adapter/operatorhttp/lift.go
+++ b/internal/adapter/operatorhttp/lift.go
@@ -11,13 +11,14 @@
 	"sassafrasreach/internal/port"
 )
 
-// liftQuarantine records a lift and has it told to the entries. A lift without
-// a change ID gets one, and a resend of it a record of its own.
+// liftQuarantine adds a lift to the audit trail and has it sent to the entries. A
+// lift without a change ID gets a new one, so resending such a lift adds another
+// record.
 func (h *handler) liftQuarantine(w http.ResponseWriter, r *http.Request, s session) {
 	f, err := fingerprint.Parse(chi.URLParam(r, "fingerprint"))
 	if err != nil {
 		writeProblem(w, newProblem(http.StatusBadRequest, CodeBadRequest,
-			fmt.Sprintf("%v: a fingerprint is %d hex digits; GET /v1/status, or ctl status -o json, lists those in quarantine", err, 2*len(f))))
+			fmt.Sprintf("%v: a fingerprint is %d hex digits; GET /v1/status, or ctl status -o json, lists the quarantined fingerprints", err, 2*len(f))))
 		return
 	}
 	id := r.Header.Get(HeaderChangeID)
@@ -29,7 +30,7 @@
 		return
 	}
 	outcome, err := h.Store.LiftQuarantine(r.Context(), port.Lift{ID: id, Operator: s.operator, Fingerprint: f.String()})
-	if _, problem := h.ended(id, s.operator, outcome, err); problem != nil {
+	if _, problem := h.finishChange(id, s.operator, outcome, err); problem != nil {
 		writeProblem(w, problem)
 		return
 	}
--- a/internal/adapter/operatorhttp/problem.go
+++ b/internal/adapter/operatorhttp/problem.go
@@ -8,34 +8,34 @@
 	"sassafrasreach/internal/port"
 )
 
-// Code classes a problem. Its text is stable.
+// Code is the class of a problem. Clients match its text, which stays the same.
 type Code string
 
 const (
-	// CodeBadRequest is a request that can't be understood.
+	// CodeBadRequest is a malformed request.
 	CodeBadRequest Code = "bad-request"
-	// CodeUnauthorized is a request without the token of an operator.
+	// CodeUnauthorized is a request without a valid operator's token.
 	CodeUnauthorized Code = "unauthorized"
-	// CodeNotFound names something that doesn't exist.
+	// CodeNotFound is a request for a path, document or drain that doesn't exist.
 	CodeNotFound Code = "not-found"
-	// CodeMethod is a method that the path doesn't have.
+	// CodeMethod is a method that the path doesn't support.
 	CodeMethod Code = "method-not-allowed"
-	// CodeTooLarge is a body over document.MaxTextBytes.
+	// CodeTooLarge is a body of more than document.MaxTextBytes.
 	CodeTooLarge Code = "body-too-large"
 	// CodeInvalid is a document with faults; nothing was changed.
 	CodeInvalid Code = "invalid"
-	// CodeConflict means that another change took the version; nothing was
-	// changed by this one.
+	// CodeConflict means that another change became the next version, or that
+	// the place is already drained; this change wasn't applied.
 	CodeConflict Code = "conflict"
-	// CodeIDReused means that the change ID belongs to another change.
+	// CodeIDReused means that the change ID was already used for another change.
 	CodeIDReused Code = "change-id-reused"
-	// CodeNoQuorum means that too few control VMs answered; nothing was
-	// changed by this attempt.
+	// CodeNoQuorum means that too few control VMs responded; this attempt changed
+	// nothing.
 	CodeNoQuorum Code = "no-quorum"
-	// CodeUnknown means that the change may have been accepted; a resend with
-	// the same change ID tells.
+	// CodeUnknown means that the change may have been accepted; a resend with the
+	// same change ID returns its outcome.
 	CodeUnknown Code = "may-have-been-accepted"
-	// CodeInternal is a failure without a class of its own.
+	// CodeInternal is any other failure.
 	CodeInternal Code = "internal"
 )
 
@@ -47,24 +47,26 @@
 	Title string `json:"title"`
 	// Status is the HTTP status.
 	Status int `json:"status"`
-	// Detail says what happened.
+	// Detail describes this occurrence and, where possible, the remedy.
 	Detail string `json:"detail"`
 	// Code is the class of the problem.
 	Code Code `json:"code"`
-	// Outcome is what became of the change, for CodeConflict and CodeUnknown.
+	// Outcome is the change's outcome, with CodeUnknown and, where there is one,
+	// with CodeConflict and CodeInvalid.
 	Outcome *port.Outcome `json:"outcome,omitempty"`
-	// Faults is what is wrong with the document, for CodeInvalid.
+	// Faults are the validation errors of the document, for CodeInvalid.
 	Faults document.Faults `json:"faults,omitempty"`
 }
 
-// noDocument is the detail of a request that needs a document.
-const noDocument = "there is no document yet; apply the first one with the bootstrap token"
+// noDocumentDetail is the detail when a request needs a document and the
+// register has none.
+const noDocumentDetail = "the register holds no document yet; apply the first one with the bootstrap token"
 
-// typePrefix makes a code into a URI (RFC 8141).
+// typePrefix and a code form the problem's type, a URN (RFC 8141).
 const typePrefix = "urn:sassafrasreach:problem:"
 
-// problemType is the media type of a Problem.
-const problemType = "application/problem+json"
+// problemMediaType is the media type of a Problem.
+const problemMediaType = "application/problem+json"
 
 func newProblem(status int, code Code, detail string) *Problem {
 	return &Problem{
@@ -80,7 +82,7 @@
 func (p *Problem) Error() string { return string(p.Code) + ": " + p.Detail }
 
 func writeProblem(w http.ResponseWriter, p *Problem) {
-	w.Header().Set("Content-Type", problemType)
+	w.Header().Set("Content-Type", problemMediaType)
 	if p.Status == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", `Bearer realm="sassafrasreach"`)
 	}
@@ -92,7 +94,8 @@
 	writeBody(w, http.StatusOK, body)
 }
 
-// writeBody sends the body as JSON. An operator who went away is no error.
+// writeBody sends the body as JSON. It ignores write errors: the client has
+// closed the connection.
 func writeBody(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
--- a/internal/adapter/operatorhttp/reference_test.go
+++ b/internal/adapter/operatorhttp/reference_test.go
@@ -15,9 +15,9 @@
 	"sassafrasreach/internal/port/porttest"
 )
 
-// TestReferenceIsAlike compares the page with the handler's routes and with the
-// codes of the package.
-func TestReferenceIsAlike(t *testing.T) {
+// TestReferenceMatchesHandler fails when a route or a problem code is added,
+// renamed or removed and the page operators-http.md isn't updated.
+func TestReferenceMatchesHandler(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/reference/operators-http.md")
 	is.NoErr(err)
@@ -33,14 +33,14 @@
 	})
 	is.NoErr(err)
 	slices.Sort(routes)
-	is.Equal(listed(string(page), "(?m)^\\| `([A-Z]+ [^`]+)` \\|"), routes)
-	codes := listed(string(source), `Code = "([a-z-]+)"`)
+	is.Equal(sortedMatches(string(page), "(?m)^\\| `([A-Z]+ [^`]+)` \\|"), routes)
+	codes := sortedMatches(string(source), `Code = "([a-z-]+)"`)
 	is.True(slices.Contains(codes, string(operatorhttp.CodeConflict)))
-	is.Equal(listed(string(page), "(?m)^\\| `([a-z-]+)` \\| [45]"), codes)
+	is.Equal(sortedMatches(string(page), "(?m)^\\| `([a-z-]+)` \\| [45]"), codes)
 }
 
-// listed returns the sorted first groups of a pattern's matches.
-func listed(text, pattern string) []string {
+// sortedMatches returns the first group of each match of a pattern, sorted.
+func sortedMatches(text, pattern string) []string {
 	var out []string
 	for _, m := range regexp.MustCompile(pattern).FindAllStringSubmatch(text, -1) {
 		out = append(out, m[1])
