--- a/internal/adapter/console/console.go
+++ b/internal/adapter/console/console.go
@@ -15,38 +15,41 @@
 	"sassafrasreach/internal/port"
 )
 
-// Path is where the console is mounted.
+// Path is the URL path at which the console is mounted.
 const Path = "/console"
 
-// ErrUnauthorized means that a token isn't an operator's.
-var ErrUnauthorized = errors.New("the token isn't of an operator in the document in force")
+// ErrUnauthorized means that a token belongs to no operator.
+var ErrUnauthorized = errors.New("the token doesn't belong to an operator in the document in force")
 
-// Opened is the document in force as an operator opens it.
+// Opened holds the document in force and the operator who opened it.
 type Opened struct {
 	// Operator is the operator's name.
 	Operator string
-	// Config is the version in force; version 0 means that there is none.
+	// Config is the document in force as text, with its version; version 0 means
+	// that there is none.
 	Config port.Config
-	// Document is Config's document as parsed; it must not be altered.
+	// Document is Config's document, parsed; it must not be modified.
 	Document *document.Document
 }
 
-// Backend is what the console works on.
+// Backend authenticates operators, submits changes and returns the status.
 type Backend interface {
-	// Open returns the document in force for the operator of a token. The
-	// error is ErrUnauthorized for a token of nobody.
+	// Open returns the document in force and the operator with the token. The
+	// error is ErrUnauthorized when no operator has the token, and port.ErrNoQuorum
+	// when too few control VMs responded.
 	Open(ctx context.Context, token string) (Opened, error)
-	// Submit validates and submits a change. The error is port.ErrNoQuorum
-	// when nothing was proposed; a state of invalid comes with the faults.
+	// Submit validates and submits a change. The error is port.ErrNoQuorum when
+	// nothing was proposed. The faults are set when validation found the document
+	// invalid.
 	Submit(ctx context.Context, change port.Change) (port.Outcome, document.Faults, error)
-	// Status returns what this control VM knows.
+	// Status returns the status of the system as known to this control VM.
 	Status(ctx context.Context) (port.ControlStatus, error)
 }
 
 //go:embed templates
 var files embed.FS
 
-// server answers the console's pages.
+// server serves the console's pages.
 type server struct {
 	backend  Backend
 	clock    port.Clock
@@ -55,7 +58,7 @@
 	pages    *template.Template
 }
 
-// New returns the console; mount it at Path.
+// New returns the console's handler, to be mounted at Path.
 func New(backend Backend, clock port.Clock, logger *slog.Logger) http.Handler {
 	s := &server{
 		backend:  backend,
@@ -65,7 +68,7 @@
 		pages:    template.Must(template.ParseFS(files, "templates/*.html")),
 	}
 	r := chi.NewRouter()
-	r.Use(http.NewCrossOriginProtection().Handler, secured)
+	r.Use(http.NewCrossOriginProtection().Handler, securityHeaders)
 	r.Get("/", s.open)
 	r.Get("/style.css", s.style)
 	r.Post("/sign-in", s.signIn)
@@ -75,9 +78,9 @@
 	return r
 }
 
-// secured sets the headers that keep pages from being framed, cached or given
-// content from elsewhere.
-func secured(next http.Handler) http.Handler {
+// securityHeaders sets headers that forbid browsers to frame or cache the pages
+// and to load content from other sites.
+func securityHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
 		h.Set("Content-Security-Policy", "default-src 'none'; style-src 'self'; form-action 'self'; frame-ancestors 'none'; base-uri 'none'")
@@ -92,7 +95,7 @@
 	http.ServeFileFS(w, r, files, "templates/style.css")
 }
 
-// render writes a page.
+// render writes a page from its template.
 func (s *server) render(w http.ResponseWriter, status int, page string, data any) {
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.WriteHeader(status)
--- a/internal/adapter/console/console_test.go
+++ b/internal/adapter/console/console_test.go
@@ -24,8 +24,8 @@
 
 const token = "demo-token"
 
-// browser drives the console of a control VM as a person does: it takes the
-// fields from the page and presses a button.
+// browser is a test client of a control VM's console. Like a web browser, it takes
+// the form's fields from the page and submits them with a button's action.
 type browser struct {
 	t      *testing.T
 	store  *porttest.Store
@@ -49,14 +49,14 @@
 	return b.window()
 }
 
-// window returns another browser at the same control VM.
+// window returns another browser, with its own session, for the same control VM.
 func (b *browser) window() *browser {
 	jar, err := cookiejar.New(nil)
 	is.New(b.t).NoErr(err)
 	return &browser{t: b.t, store: b.store, url: b.url, client: &http.Client{Jar: jar}}
 }
 
-// apply changes the document past the console.
+// apply changes the document without the console.
 func (b *browser) apply(id string, base uint64, text string) {
 	outcome, err := b.store.Submit(b.t.Context(), port.Change{ID: id, Operator: "other", BaseVersion: base, Document: []byte(text)})
 	is := is.New(b.t)
@@ -75,7 +75,7 @@
 
 var inputs = regexp.MustCompile(`<input type="(?:hidden|text)" name="([^"]*)" value="([^"]*)"`)
 
-// read takes a page's fields.
+// read reads a page and the fields of its form.
 func (b *browser) read(resp *http.Response, err error) {
 	is := is.New(b.t)
 	is.NoErr(err)
@@ -94,7 +94,8 @@
 	b.read(b.client.PostForm(b.url+"/console/sign-in", url.Values{"token": {token}}))
 }
 
-// press sends the page's form by a button, with some fields typed anew.
+// press sets some fields, given as pairs of path and text, and submits the page's
+// form with a button's action.
 func (b *browser) press(action string, typed ...string) {
 	for i := 0; i+1 < len(typed); i += 2 {
 		if !b.form.Has("d." + typed[i]) {
@@ -106,6 +107,7 @@
 	b.read(b.client.PostForm(b.url+"/console/edit", b.form))
 }
 
+// sees checks the status and that the page contains the texts.
 func (b *browser) sees(status int, texts ...string) {
 	b.t.Helper()
 	is.New(b.t).Equal(b.status, status)
@@ -116,15 +118,16 @@
 	}
 }
 
-// TestFormToAcceptedDocument goes from signing in to the accepted document,
-// through every kind of form, with the drain's moves on the way.
-func TestFormToAcceptedDocument(t *testing.T) {
+// TestEditReviewSubmit edits the document with every kind of form, from sign-in to
+// the accepted version. It guards against a form that loses or misplaces a field,
+// an element or a list, and against unescaped text on a page.
+func TestEditReviewSubmit(t *testing.T) {
 	is := is.New(t)
 	b := newBrowser(t)
 	b.get("/console/")
 	b.sees(200, "Operator's token")
 	b.signIn(token)
-	b.sees(200, "opened at version 1", `value="belt-control"`)
+	b.sees(200, "editing version 1", `value="belt-control"`)
 
 	b.press("add services")
 	b.press("add drains", "services[2].name", "grade-stamp", "services[2].places", "norte-a  norte-b",
@@ -153,18 +156,20 @@
 	is.NoErr(err)
 	is.Equal(records[1].Operator, "trial")
 	b.get("/console/status")
-	b.sees(200, "norte-a-1", "never heard of")
+	b.sees(200, "norte-a-1", "no report received")
 }
 
-func TestFaultsAtTheirFields(t *testing.T) {
+// TestFaultsAreShownAtFields guards against a fault that is missing from the page
+// or isn't next to its field, and against submitting a document with faults.
+func TestFaultsAreShownAtFields(t *testing.T) {
 	cases := []struct {
 		name   string
 		typed  []string
 		after  string
 		faults string
 	}{
-		{"number", []string{"services[0].slots", "three"}, `name="d.services[0].slots" value="three"`, `a whole number is wanted, not "three"`},
-		{"duration", []string{"services[1].deadline", "2"}, `name="d.services[1].deadline" value="2"`, "a duration such as"},
+		{"number", []string{"services[0].slots", "three"}, `name="d.services[0].slots" value="three"`, `must be a whole number, not "three"`},
+		{"duration", []string{"services[1].deadline", "2"}, `name="d.services[1].deadline" value="2"`, "must be a duration such as"},
 		{"unknown place", []string{"services[0].places", "norte-a sul"}, `name="d.services[0].places" value="norte-a sul"`, `no place is named "sul"`},
 		{"entry", []string{"places[0].entries[1].peer", "here"}, `name="d.places[0].entries[1].peer" value="here"`, "isn't IP:port"},
 		{"whole rule", []string{"rules[1].from", "norte-a", "rules[1].to", "norte-b"}, `name="d.rules[1]" value="1">`, "stands already at rules[0]"},
@@ -175,7 +180,7 @@
 			b := newBrowser(t)
 			b.signIn(token)
 			b.press("review", c.typed...)
-			b.sees(422, "1 faults; nothing was changed")
+			b.sees(422, "Faults found: 1. Nothing was changed.")
 			_, rest, found := strings.Cut(html.UnescapeString(b.page), c.after)
 			is.True(found)
 			field, _, _ := strings.Cut(rest, "<label>")
@@ -189,8 +194,9 @@
 	}
 }
 
-// TestRaceIsSeen lets another change win between opening, review and submit.
-func TestRaceIsSeen(t *testing.T) {
+// TestConflictIsShown guards against overwriting another operator's change that
+// was accepted after the draft was opened, or after it was reviewed.
+func TestConflictIsShown(t *testing.T) {
 	is := is.New(t)
 	demo, err := os.ReadFile("../../../examples/demo.yaml")
 	is.NoErr(err)
@@ -213,9 +219,9 @@
 	}
 }
 
-// TestSentTwice sends the form of a draft twice, and once more after its answer
-// was lost.
-func TestSentTwice(t *testing.T) {
+// TestResubmittedFormIsOneChange guards against a draft that becomes two versions:
+// its response is lost and the form is sent again, twice.
+func TestResubmittedFormIsOneChange(t *testing.T) {
 	is := is.New(t)
 	b := newBrowser(t)
 	b.signIn(token)
@@ -232,7 +238,7 @@
 	version, _ := b.current()
 	is.Equal(version, uint64(2))
 
-	// A draft that is edited after its answer was lost is another change.
+	// A draft that is edited after its response was lost is another change.
 	b.signIn(token)
 	b.press("review", "services[1].workers", "6")
 	b.store.LoseAnswers = 1
@@ -253,10 +259,10 @@
 	is.True(b.form.Get("change_id") != first)
 }
 
-// TestNothingWithoutSession sends a good form without a session, with another
-// session's form token, from another site, after signing out, and after the
-// operator was removed.
-func TestNothingWithoutSession(t *testing.T) {
+// TestInvalidRequestsChangeNothing guards against a change by a form that is valid
+// but has no session, a wrong form token, another site's origin, a removed
+// operator, a missing field or an unknown action, or is sent without a quorum.
+func TestInvalidRequestsChangeNothing(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
@@ -269,7 +275,7 @@
 			other.signIn(token)
 			b.form.Set("form_token", other.form.Get("form_token"))
 		}},
-		{"another site", 403, func(b *browser) { b.client.Transport = foreign{} }},
+		{"another site", 403, func(b *browser) { b.client.Transport = crossSite{} }},
 		{"signed out", 401, func(b *browser) {
 			form := b.form
 			u, err := url.Parse(b.url + "/console/")
@@ -277,7 +283,7 @@
 			kept := b.client.Jar.Cookies(u)
 			b.read(b.client.PostForm(b.url+"/console/sign-out", form))
 			is.New(b.t).Equal(len(b.client.Jar.Cookies(u)), 0)
-			b.client.Jar.SetCookies(u, kept) // a copy of the cookie is of no use
+			b.client.Jar.SetCookies(u, kept) // a copied cookie must not restore the session
 			b.form = form
 		}},
 		{"operator removed", 401, func(b *browser) {
@@ -315,20 +321,23 @@
 	return status.Version
 }
 
-// foreign sends requests as a page of another site makes a browser send them.
-type foreign struct{}
+// crossSite sends requests with the header that a browser adds to a request from
+// another site's page.
+type crossSite struct{}
 
-func (foreign) RoundTrip(r *http.Request) (*http.Response, error) {
+func (crossSite) RoundTrip(r *http.Request) (*http.Response, error) {
 	r.Header.Set("Sec-Fetch-Site", "cross-site")
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-func TestSignInRefuses(t *testing.T) {
+// TestSignInRefusesWrongTokens guards against a session for somebody who has no
+// operator's token; a token's hash is in the document and must not suffice.
+func TestSignInRefusesWrongTokens(t *testing.T) {
 	is := is.New(t)
 	b := newBrowser(t)
 	for _, wrong := range []string{"", "other", document.Digest([]byte(token))} {
 		b.signIn(wrong)
-		b.sees(401, "isn't of an operator")
+		b.sees(401, "the token doesn't belong to an operator")
 	}
 	b.get("/console/status")
 	b.sees(401, "Sign in first")
@@ -337,7 +346,9 @@
 	is.Equal(len(b.client.Jar.Cookies(u)), 0)
 }
 
-func TestLargeDocumentIsLeftToTheClient(t *testing.T) {
+// TestTooLargeDocumentPointsToCtl guards against a form with more fields than
+// net/http reads, which couldn't be submitted.
+func TestTooLargeDocumentPointsToCtl(t *testing.T) {
 	b := newBrowser(t)
 	_, doc := b.current()
 	for i := range 1000 {
@@ -349,5 +360,5 @@
 	is.New(t).NoErr(err)
 	b.apply("large", 1, string(text))
 	b.signIn(token)
-	b.sees(200, "more than the 9900 of a form")
+	b.sees(200, "more than the maximum of 9900 in a form")
 }
--- a/internal/adapter/console/doc.go
+++ b/internal/adapter/console/doc.go
@@ -1,14 +1,16 @@
-// Package console is the operators' web page: forms whose output is the one
-// document. The pages are rendered on the server and need no script.
+// Package console serves the operators' web pages: forms to edit the document,
+// which holds the whole configuration, a review of the changes, and the status of
+// the system. The pages are rendered on the server and need no script.
 //
-// The whole draft travels in the form, together with the version that it was
-// opened at and the ID of the change. The server keeps no draft: a draft
-// survives a restart, and two windows don't mix. A submission from an older
+// A draft is a document that an operator is editing. The form holds the whole
+// draft, the version of the document that it was made from, and the ID of the
+// change. The server stores no draft, so a draft survives a restart of the server,
+// and two browser windows don't affect each other. Submitting a draft of an older
 // version is a conflict, so nothing is overwritten; a form that is sent twice
-// is one change.
+// makes one change.
 //
 // Operators sign in with their token. The session is kept in memory under a
-// random ID in a cookie that scripts and other sites can't use; each change
-// also needs the session's form token, and the operator's token is judged anew
-// on each request.
+// random ID, which is in a cookie that scripts and other sites can't use. Each
+// form also needs the session's form token, and the operator's token is checked
+// again on each request.
 package console
--- a/internal/adapter/console/edit.go
+++ b/internal/adapter/console/edit.go
@@ -12,15 +12,16 @@
 	"sassafrasreach/internal/port"
 )
 
-// maxFormBytes bounds a form. Larger documents are edited with the client at
-// the command line.
+// maxFormBytes is the maximum size of a form. Larger documents must be edited with
+// ctl, the command-line client.
 const maxFormBytes = 8 << 20
 
-// maxFields bounds the document's fields in a form: net/http reads forms of at
-// most 10,000 fields.
+// maxFields is the maximum number of document fields in a form; net/http reads at
+// most 10,000 fields in all.
 const maxFields = 9_900
 
-// Actions of the form's buttons. Add and remove are followed by a path.
+// Actions of the form's buttons. A path in the document follows actionAdd and
+// actionRemove.
 const (
 	actionAdd    = "add "
 	actionRemove = "remove "
@@ -31,35 +32,35 @@
 
 // draft is a document being edited.
 type draft struct {
-	// FormToken is the session's.
+	// FormToken is the form token of the session.
 	FormToken string
 	// Operator is the operator's name.
 	Operator string
-	// Base is the version that the draft was opened at.
+	// Base is the version of the document that the draft was made from.
 	Base uint64
-	// ChangeID is the ID that the draft is submitted with. Each review gives a
-	// new one, so that a draft that was edited further is another change.
+	// ChangeID is the ID of the change that submits the draft. Each review
+	// generates a new one, so a draft that was edited further is another change.
 	ChangeID string
-	// values are the texts of the fields.
+	// values holds the texts of the document's fields.
 	values values
 }
 
-// editPage is the page of forms.
+// editPage is the page that edits a draft.
 type editPage struct {
 	draft
-	// Message says what happened; empty for nothing.
+	// Message tells the operator about a conflict; empty if there is none.
 	Message string
-	// Faults are those that belong to no field.
+	// Faults are the faults that belong to no element of the page.
 	Faults []string
-	// FaultCount is the number of all faults.
+	// FaultCount is the number of all faults, those at fields included.
 	FaultCount int
-	// Lists are the document's.
+	// Lists are the top-level lists of the document.
 	Lists []listView
-	// Names are the known values for fields that choose a name.
+	// Names maps the ID of a datalist to the names that it suggests.
 	Names map[string][]string
-	// Theirs is what differs between the draft's own version and the one in
-	// force, after a conflict.
-	Theirs []document.Difference
+	// Conflicting lists the differences between the document in force and the
+	// draft, after a conflict.
+	Conflicting []document.Difference
 }
 
 func (s *server) open(w http.ResponseWriter, r *http.Request) {
@@ -70,7 +71,7 @@
 	}
 	opened, err := s.backend.Open(r.Context(), found.token)
 	if err != nil {
-		s.failed(w, err)
+		s.renderError(w, err)
 		return
 	}
 	d := draft{
@@ -85,7 +86,7 @@
 func (s *server) showEdit(w http.ResponseWriter, status int, page editPage, faults document.Faults) {
 	if len(page.values) > maxFields {
 		s.render(w, http.StatusOK, "message", message(fmt.Sprintf(
-			"The document has %d fields, more than the %d of a form. Edit it with ctl get and ctl apply.", len(page.values), maxFields)))
+			"The document has %d fields, more than the maximum of %d in a form. Edit it with ctl get and ctl apply.", len(page.values), maxFields)))
 		return
 	}
 	viewer := newViewer(page.values, faults)
@@ -96,7 +97,7 @@
 	s.render(w, status, "edit", page)
 }
 
-// names returns the known values for fields that choose a name.
+// names returns the names that each datalist suggests, by the datalist's ID.
 func (v values) names() map[string][]string {
 	out := make(map[string][]string)
 	collect := func(id, list string) {
@@ -120,12 +121,12 @@
 func (s *server) edit(w http.ResponseWriter, r *http.Request, found session) {
 	opened, err := s.backend.Open(r.Context(), found.token)
 	if err != nil {
-		s.failed(w, err)
+		s.renderError(w, err)
 		return
 	}
 	base, err := strconv.ParseUint(r.PostForm.Get("base"), 10, 64)
 	if err != nil {
-		s.render(w, http.StatusBadRequest, "message", message("The form has no version: open the document again."))
+		s.render(w, http.StatusBadRequest, "message", message("The form has no base version. Open the document again."))
 		return
 	}
 	d := draft{
@@ -148,16 +149,17 @@
 	case action == actionReview:
 		s.review(w, d, opened)
 	case action == actionSubmit && d.ChangeID == "":
-		s.render(w, http.StatusBadRequest, "message", message("The form has no change ID: review the draft first."))
+		s.render(w, http.StatusBadRequest, "message", message("The form has no change ID. Review the changes before you submit them."))
 	case action == actionSubmit:
 		s.submit(w, r, d, opened)
 	default:
-		s.render(w, http.StatusBadRequest, "message", message("The form has no such button: open the document again."))
+		s.render(w, http.StatusBadRequest, "message", message("The form has no such action. Open the document again."))
 	}
 }
 
-// checked returns the draft's document, or shows its faults at their fields.
-func (s *server) checked(w http.ResponseWriter, d draft) (*document.Document, bool) {
+// validDocument returns the draft's document if it is valid. Otherwise it renders
+// the draft with its faults at their fields and returns false.
+func (s *server) validDocument(w http.ResponseWriter, d draft) (*document.Document, bool) {
 	doc, faults := d.values.document()
 	if len(faults) == 0 {
 		faults = doc.Validate()
@@ -169,22 +171,24 @@
 	return doc, true
 }
 
-// reviewPage shows what a draft would change.
+// reviewPage is the page that shows what a draft would change.
 type reviewPage struct {
 	draft
-	// Current is the version in force that the draft is compared with.
+	// Current is the version in force, with which the draft is compared.
 	Current uint64
-	// Differences are what the draft would change.
+	// Differences lists the fields that the draft would change.
 	Differences []document.Difference
-	// Moves is the traffic that would lose its place.
+	// Moves lists the traffic that would leave its place.
 	Moves []document.Move
-	// Text is the document.
+	// Text is the draft's document as YAML.
 	Text string
-	// Message says what happened; empty for nothing.
+	// Message tells the operator that the outcome is unknown; empty before the
+	// first submission.
 	Message string
 }
 
-// Hidden returns the draft's fields.
+// Hidden returns the document's fields by the names of their HTML inputs. The
+// review page sends them back in hidden inputs.
 func (d draft) Hidden() map[string]string {
 	out := make(map[string]string, len(d.values))
 	for path, text := range d.values {
@@ -194,7 +198,7 @@
 }
 
 func (s *server) review(w http.ResponseWriter, d draft, opened Opened) {
-	doc, ok := s.checked(w, d)
+	doc, ok := s.validDocument(w, d)
 	if !ok {
 		return
 	}
@@ -209,7 +213,7 @@
 func (s *server) showReview(w http.ResponseWriter, status int, d draft, doc *document.Document, opened Opened, text string) {
 	yaml, err := document.Marshal(doc)
 	if err != nil {
-		s.failed(w, err)
+		s.renderError(w, err)
 		return
 	}
 	s.render(w, status, "review", reviewPage{
@@ -222,26 +226,26 @@
 	})
 }
 
-// showConflict shows the draft with what it would take back of the version in
-// force. Its base stays, so that it can't overwrite that version.
+// showConflict shows the draft and the differences from the version in force to
+// it. The draft keeps its base, so that it can't overwrite that version.
 func (s *server) showConflict(w http.ResponseWriter, d draft, opened Opened) {
 	page := editPage{draft: d, Message: fmt.Sprintf(
-		"Version %d was accepted after you opened version %d. Nothing was changed by you. Open the new version and make your changes there; the differences from it to your draft are below.",
+		"Version %d was accepted after you opened version %d, so your changes were not applied. Open the new version and make your changes there. The table shows the differences from the new version to your draft.",
 		opened.Config.Version, d.Base)}
 	if doc, faults := d.values.document(); len(faults) == 0 {
-		page.Theirs = document.Diff(opened.Document, doc)
+		page.Conflicting = document.Diff(opened.Document, doc)
 	}
 	s.showEdit(w, http.StatusConflict, page, nil)
 }
 
 func (s *server) submit(w http.ResponseWriter, r *http.Request, d draft, opened Opened) {
-	doc, ok := s.checked(w, d)
+	doc, ok := s.validDocument(w, d)
 	if !ok {
 		return
 	}
 	text, err := document.Marshal(doc)
 	if err != nil {
-		s.failed(w, err)
+		s.renderError(w, err)
 		return
 	}
 	outcome, faults, err := s.backend.Submit(r.Context(), port.Change{
@@ -251,24 +255,25 @@
 		Document:    text,
 	})
 	if err != nil {
-		s.failed(w, err)
+		s.renderError(w, err)
 		return
 	}
 	switch outcome.State {
 	case port.ChangeAccepted:
 		s.render(w, http.StatusOK, "accepted", outcome)
 	case port.ChangeConflict:
-		s.conflict(w, r, d, opened)
+		s.showNewestConflict(w, r, d, opened)
 	case port.ChangeInvalid:
 		s.showEdit(w, http.StatusUnprocessableEntity, editPage{draft: d}, faults)
 	default:
 		s.showReview(w, http.StatusGatewayTimeout, d, doc, opened,
-			"The change may have been accepted. Send it again to learn which: it has the same ID, so it isn't made twice.")
+			"The change may have been accepted. Send it again to learn its outcome: it keeps its ID, so it cannot be applied twice.")
 	}
 }
 
-// conflict shows the version that won; opened is used when it can't be read.
-func (s *server) conflict(w http.ResponseWriter, r *http.Request, d draft, opened Opened) {
+// showNewestConflict shows the conflict with the newest version, or with opened
+// when the newest one can't be read.
+func (s *server) showNewestConflict(w http.ResponseWriter, r *http.Request, d draft, opened Opened) {
 	if found, ok := s.session(r); ok {
 		if newest, err := s.backend.Open(r.Context(), found.token); err == nil {
 			opened = newest
--- a/internal/adapter/console/session.go
+++ b/internal/adapter/console/session.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// sessionLife is the time after which an operator signs in again.
-	sessionLife = 8 * time.Hour
-	// maxSessions bounds the sessions of one control VM.
+	// sessionLifetime is the time after which an operator must sign in again.
+	sessionLifetime = 8 * time.Hour
+	// maxSessions is the maximum number of sessions of one control VM.
 	maxSessions = 256
 )
 
-// session is an operator who signed in.
+// session is the session of a signed-in operator.
 type session struct {
-	// token is the operator's token; it is judged anew on each request.
+	// token is the operator's token; it is checked again on each request.
 	token string
-	// formToken must come with each form.
+	// formToken must be sent with each form; it guards against forged requests.
 	formToken string
 	expires   time.Time
 }
 
-// accepts says whether a form was made for this session.
+// accepts reports whether a form was rendered for this session. It compares in
+// constant time.
 func (s session) accepts(formToken string) bool {
 	return subtle.ConstantTimeCompare([]byte(s.formToken), []byte(formToken)) == 1
 }
 
-// sessions holds the operators who signed in.
+// sessions holds the sessions of the signed-in operators.
 type sessions struct {
 	mu   sync.Mutex
 	byID map[string]session
@@ -42,20 +43,20 @@
 	defer s.mu.Unlock()
 	s.expire(now)
 	id := rand.Text()
-	s.byID[id] = session{token: token, formToken: rand.Text(), expires: now.Add(sessionLife)}
+	s.byID[id] = session{token: token, formToken: rand.Text(), expires: now.Add(sessionLifetime)}
 	return id
 }
 
-// expire drops what has expired and, when there are too many, the oldest one.
-// It must be called with mu held.
+// expire deletes the expired sessions and, if maxSessions are left, the one that
+// expires first. The caller must hold mu.
 func (s *sessions) expire(now time.Time) {
 	oldest := ""
-	for id, each := range s.byID {
-		if !each.expires.After(now) {
+	for id, candidate := range s.byID {
+		if !candidate.expires.After(now) {
 			delete(s.byID, id)
 			continue
 		}
-		if oldest == "" || each.expires.Before(s.byID[oldest].expires) {
+		if oldest == "" || candidate.expires.Before(s.byID[oldest].expires) {
 			oldest = id
 		}
 	}
--- a/internal/adapter/console/signin.go
+++ b/internal/adapter/console/signin.go
@@ -10,15 +10,15 @@
 	"sassafrasreach/internal/port"
 )
 
-// cookieName names the cookie that holds the session's ID.
+// cookieName is the name of the cookie that holds the session's ID.
 const cookieName = "sassafrasreach-console"
 
-// maxSignInBytes bounds the sign-in form.
+// maxSignInBytes is the maximum size of the sign-in form.
 const maxSignInBytes = 8 << 10
 
 // signInPage is the page for operators who aren't signed in.
 type signInPage struct {
-	// Message says why; empty at first.
+	// Message says why the operator must sign in; empty on the first visit.
 	Message string
 }
 
@@ -26,11 +26,11 @@
 	r.Body = http.MaxBytesReader(w, r.Body, maxSignInBytes)
 	token := r.PostFormValue("token")
 	if _, err := s.backend.Open(r.Context(), token); err != nil {
-		s.failed(w, err)
+		s.renderError(w, err)
 		return
 	}
 	id := s.sessions.open(token, s.clock.Now())
-	http.SetCookie(w, s.cookie(r, id, int(sessionLife.Seconds())))
+	http.SetCookie(w, s.cookie(r, id, int(sessionLifetime.Seconds())))
 	http.Redirect(w, r, Path+"/", http.StatusSeeOther)
 }
 
@@ -42,7 +42,8 @@
 	http.Redirect(w, r, Path+"/", http.StatusSeeOther)
 }
 
-// cookie returns the session's cookie, out of reach of scripts and other sites.
+// cookie returns the session's cookie, which scripts can't read and browsers
+// don't send with requests from other sites.
 func (s *server) cookie(r *http.Request, id string, maxAge int) *http.Cookie {
 	return &http.Cookie{
 		Name:     cookieName,
@@ -64,34 +65,34 @@
 	return s.sessions.get(c.Value, s.clock.Now())
 }
 
-// signedIn calls next for forms that were made for the request's session.
+// signedIn calls next for forms that were rendered for the request's session.
 func (s *server) signedIn(next func(http.ResponseWriter, *http.Request, session)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		found, ok := s.session(r)
 		if !ok {
-			s.render(w, http.StatusUnauthorized, "signin", signInPage{Message: "Sign in first."})
+			s.render(w, http.StatusUnauthorized, "signin", signInPage{Message: "Sign in first: you have no session, or it has ended."})
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxFormBytes)
 		if err := r.ParseForm(); err != nil {
-			s.render(w, http.StatusBadRequest, "message", message("The form can't be read: "+err.Error()))
+			s.render(w, http.StatusBadRequest, "message", message("The server cannot read the form: "+err.Error()))
 			return
 		}
 		if !found.accepts(r.PostForm.Get("form_token")) {
-			s.render(w, http.StatusForbidden, "message", message("The form isn't of this session: open the document again."))
+			s.render(w, http.StatusForbidden, "message", message("This form belongs to another session. Open the document again."))
 			return
 		}
 		next(w, r, found)
 	}
 }
 
-// failed shows why the document couldn't be opened.
-func (s *server) failed(w http.ResponseWriter, err error) {
+// renderError renders the page for an error of the backend.
+func (s *server) renderError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, ErrUnauthorized):
 		s.render(w, http.StatusUnauthorized, "signin", signInPage{Message: err.Error()})
 	case errors.Is(err, port.ErrNoQuorum):
-		s.render(w, http.StatusServiceUnavailable, "message", message("Too few control VMs answer; nothing was changed. Try another control VM, or later."))
+		s.render(w, http.StatusServiceUnavailable, "message", message("Too few control VMs responded, so nothing was changed. Try another control VM, or try again later."))
 	default:
 		event.Log(context.Background(), s.logger, event.ConsoleFailed, slog.Any("error", err))
 		s.render(w, http.StatusInternalServerError, "message", message(err.Error()))
--- a/internal/adapter/console/values.go
+++ b/internal/adapter/console/values.go
@@ -11,12 +11,12 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// values holds the texts of a form's fields by their path in the document, such
-// as services[1].slots. An element of a list is there when its own path, such as
-// services[1], is.
+// values maps the path of a field in the document, such as services[1].slots, to
+// its text in the form. A list has an element if the element's own path, such as
+// services[1], is a key.
 type values map[string]string
 
-// present is the value of an element's own path.
+// present is the value at an element's own path.
 const present = "1"
 
 // valuesOf returns the values of a document.
@@ -55,8 +55,8 @@
 	v.putStruct(at, element)
 }
 
-// document returns the document that the values make, and the fields whose text
-// isn't of their type; these stay at zero.
+// document returns the document that the values describe, and a fault for each
+// field whose text doesn't parse as the field's type; such a field stays zero.
 func (v values) document() (*document.Document, document.Faults) {
 	doc := &document.Document{}
 	var faults document.Faults
@@ -85,13 +85,14 @@
 	}
 }
 
-// setField sets a field from its text and returns what is wrong with it.
+// setField sets a field from its text. It returns a message when the text doesn't
+// parse as the field's type, and an empty string otherwise.
 func setField(f reflect.Value, text string) string {
 	switch f.Interface().(type) {
 	case document.Duration:
 		d, err := time.ParseDuration(text)
 		if err != nil {
-			return fmt.Sprintf("a duration such as 800ms or 2s is wanted, not %q", text)
+			return fmt.Sprintf("must be a duration such as 800ms or 2s, not %q", text)
 		}
 		f.SetInt(int64(d))
 	case []string:
@@ -99,7 +100,7 @@
 	case int, int64:
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return fmt.Sprintf("a whole number is wanted, not %q", text)
+			return fmt.Sprintf("must be a whole number, not %q", text)
 		}
 		f.SetInt(n)
 	default:
@@ -117,19 +118,19 @@
 	return n
 }
 
-// add appends an element with the defaults to a list. An unknown list is left
-// alone.
+// add appends an element with default values to a list. It does nothing for an
+// unknown list.
 func (v values) add(list string) {
 	name := list[strings.LastIndexByte(list, '.')+1:]
-	element, ok := blank[name]
+	element, ok := newElements[name]
 	if !ok {
 		return
 	}
 	v.putElement(list, v.count(list), reflect.ValueOf(element))
 }
 
-// blank holds a new element of each list.
-var blank = map[string]any{
+// newElements holds a new element, with default values, for each list.
+var newElements = map[string]any{
 	"regions":   document.Region{ReservePercent: document.DefaultReservePercent},
 	"places":    document.Place{},
 	"entries":   document.Entry{},
@@ -141,7 +142,7 @@
 	"operators": document.Operator{},
 }
 
-// remove takes an element out of its list and moves the later ones up.
+// remove deletes an element from its list and renumbers the later ones.
 func (v values) remove(element string) {
 	open := strings.LastIndexByte(element, '[')
 	if open < 0 || v[element] == "" {
@@ -152,15 +153,15 @@
 	if err != nil {
 		return
 	}
-	v.cut(element)
+	v.deleteElement(element)
 	for v[index(list, i+1)] != "" {
-		v.move(index(list, i+1), index(list, i))
+		v.renameElement(index(list, i+1), index(list, i))
 		i++
 	}
 }
 
-// cut deletes an element with all below it.
-func (v values) cut(element string) {
+// deleteElement deletes an element and everything in it.
+func (v values) deleteElement(element string) {
 	for path := range v {
 		if within(path, element) {
 			delete(v, path)
@@ -168,8 +169,8 @@
 	}
 }
 
-// move renames an element with all below it.
-func (v values) move(from, to string) {
+// renameElement changes the path of an element and of everything in it.
+func (v values) renameElement(from, to string) {
 	moved := make(values)
 	for path, text := range v {
 		if within(path, from) {
@@ -182,10 +183,10 @@
 	}
 }
 
-// fieldPrefix marks the form's fields that belong to the document.
+// fieldPrefix starts the names of the form's inputs that belong to the document.
 const fieldPrefix = "d."
 
-// valuesFrom reads the document's fields out of a form.
+// valuesFrom returns the document's fields in a submitted form.
 func valuesFrom(form url.Values) values {
 	v := make(values)
 	for name, texts := range form {
@@ -196,7 +197,7 @@
 	return v
 }
 
-// within says whether a path is an element or below it.
+// within reports whether a path is that of the element or of something in it.
 func within(path, element string) bool {
 	return path == element || strings.HasPrefix(path, element+".")
 }
--- a/internal/adapter/console/view.go
+++ b/internal/adapter/console/view.go
@@ -7,42 +7,44 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// listView is a list of the document on the page.
+// listView is a list of the document, as shown on the page.
 type listView struct {
-	// Path and Label name the list.
+	// Path is the path of the list in the document, Label its field name.
 	Path, Label string
-	// Faults are those of the list itself.
+	// Faults are the faults of the list itself.
 	Faults []string
-	// Elements are what it holds.
+	// Elements are the elements of the list.
 	Elements []elementView
 }
 
-// elementView is an element of a list on the page.
+// elementView is an element of a list, as shown on the page.
 type elementView struct {
-	// Path names the element, Title shows what identifies it.
+	// Path is the path of the element in the document; Title identifies it among
+	// the elements of its list.
 	Path, Title string
-	// Faults are those of the element itself.
+	// Faults are the faults of the element itself.
 	Faults []string
-	// Bad says that there is a fault in the element or below it.
+	// Bad is true when the element, or a field or list in it, has a fault.
 	Bad bool
-	// Fields are its fields, Lists the lists below it.
+	// Fields are the fields of the element, Lists the lists in it.
 	Fields []fieldView
 	Lists  []listView
 }
 
-// fieldView is a field on the page.
+// fieldView is a field of an element, as shown on the page.
 type fieldView struct {
-	// Name is the name of the input, Label the field's name in the document.
+	// Name is the name of the HTML input, Label the field's name in the document.
 	Name, Label string
-	// Value is the text.
+	// Value is the text of the field.
 	Value string
-	// Choices is the ID of the list of known values; empty for none.
+	// Choices is the ID of the HTML datalist with the known values; empty for none.
 	Choices string
-	// Faults are those of the field.
+	// Faults are the faults of the field.
 	Faults []string
 }
 
-// choices maps fields to the list of names that they choose from.
+// choices maps a field, by list and field name, to the datalist that suggests its
+// values.
 var choices = map[string]string{
 	"places.region":  "regions",
 	"links.from":     "regions",
@@ -55,13 +57,14 @@
 	"shares.entry":   "entries",
 }
 
-// viewer makes the views of a form's values.
+// viewer builds the views of a draft's values and faults.
 type viewer struct {
 	values values
 	faults map[string][]string
 }
 
-// newViewer puts each fault at the nearest path that the form has.
+// newViewer returns a viewer that shows each fault at its path or, when the form
+// doesn't show that path, at the nearest enclosing path that it shows.
 func newViewer(v values, faults document.Faults) *viewer {
 	w := &viewer{values: v, faults: make(map[string][]string)}
 	for _, f := range faults {
@@ -78,16 +81,16 @@
 	return w
 }
 
-// shown says whether the page has a spot for the path's faults.
+// shown reports whether the page shows faults at the path.
 func (w *viewer) shown(path string) bool {
 	if _, ok := w.values[path]; ok {
 		return true
 	}
-	_, list := blank[path[strings.LastIndexByte(path, '.')+1:]]
+	_, list := newElements[path[strings.LastIndexByte(path, '.')+1:]]
 	return list
 }
 
-// lists returns the lists of a struct's type at a path.
+// lists returns the views of the list fields of a struct type at a path.
 func (w *viewer) lists(path string, t reflect.Type) []listView {
 	var out []listView
 	for f := range t.Fields() {
--- a/internal/adapter/operatorhttp/auth.go
+++ b/internal/adapter/operatorhttp/auth.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return session{}, readProblem(err)
 	}
-	doc, err := h.documents.parse(config)
+	doc, err := h.documentCache.parse(config)
 	if err != nil {
 		event.Log(context.Background(), h.Logger, event.RegisterUnreadable, slog.Any("version", config.Version), slog.Any("error", err))
 		return session{}, newProblem(http.StatusInternalServerError, CodeInternal, "this control VM cannot parse the document in the register; see its log")
--- a/internal/adapter/operatorhttp/handler.go
+++ b/internal/adapter/operatorhttp/handler.go
@@ -38,7 +38,7 @@
 // handler serves the requests of operators.
 type handler struct {
 	Options
-	documents documentCache
+	documentCache documentCache
 }
 
 // New returns the handler of the operators' interface, with the console at console.Path.
@@ -59,7 +59,7 @@
 		writeProblem(w, newProblem(http.StatusNotFound, CodeNotFound, "the path "+r.URL.Path+" does not exist; docs/reference/operators-http.md lists all paths"))
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, r *http.Request) {
-		writeProblem(w, newProblem(http.StatusMethodNotAllowed, CodeMethod, "the path "+r.URL.Path+" does not support the method "+r.Method))
+		writeProblem(w, newProblem(http.StatusMethodNotAllowed, CodeMethod, r.URL.Path+" does not support the method "+r.Method))
 	})
 	r.Get("/healthz", h.healthz)
 	r.Get("/readyz", h.readyz)
