--- a/cmd/sassafrasreach/main.go
+++ b/cmd/sassafrasreach/main.go
@@ -1,5 +1,6 @@
-// Command sassafrasreach steers requests from callers to endpoints across
-// failure domains and regions.
+// Command sassafrasreach runs the processes of the traffic steering system, which
+// route requests from callers to endpoints across failure domains and regions, and
+// the clients of its operators and callers.
 package main
 
 import (
--- a/internal/adapter/console/console_test.go
+++ b/internal/adapter/console/console_test.go
@@ -118,10 +118,10 @@
 	}
 }
 
-// TestEditReviewSubmit edits the document with every kind of form, from sign-in to
+// TestFormToAcceptedDocument edits the document with every kind of form, from sign-in to
 // the accepted version. It guards against a form that loses or misplaces a field,
 // an element or a list, and against unescaped text on a page.
-func TestEditReviewSubmit(t *testing.T) {
+func TestFormToAcceptedDocument(t *testing.T) {
 	is := is.New(t)
 	b := newBrowser(t)
 	b.get("/console/")
@@ -159,9 +159,9 @@
 	b.sees(200, "norte-a-1", "no report received")
 }
 
-// TestFaultsAreShownAtFields guards against a fault that is missing from the page
+// TestFaultsAtTheirFields guards against a fault that is missing from the page
 // or isn't next to its field, and against submitting a document with faults.
-func TestFaultsAreShownAtFields(t *testing.T) {
+func TestFaultsAtTheirFields(t *testing.T) {
 	cases := []struct {
 		name   string
 		typed  []string
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestConflictIsShown guards against overwriting another operator's change that
+// TestRaceIsSeen guards against overwriting another operator's change that
 // was accepted after the draft was opened, or after it was reviewed.
-func TestConflictIsShown(t *testing.T) {
+func TestRaceIsSeen(t *testing.T) {
 	is := is.New(t)
 	demo, err := os.ReadFile("../../../examples/demo.yaml")
 	is.NoErr(err)
@@ -219,9 +219,9 @@
 	}
 }
 
-// TestResubmittedFormIsOneChange guards against a draft that becomes two versions:
+// TestSentTwice guards against a draft that becomes two versions:
 // its response is lost and the form is sent again, twice.
-func TestResubmittedFormIsOneChange(t *testing.T) {
+func TestSentTwice(t *testing.T) {
 	is := is.New(t)
 	b := newBrowser(t)
 	b.signIn(token)
@@ -259,10 +259,10 @@
 	is.True(b.form.Get("change_id") != first)
 }
 
-// TestInvalidRequestsChangeNothing guards against a change by a form that is valid
+// TestNothingWithoutSession guards against a change by a form that is valid
 // but has no session, a wrong form token, another site's origin, a removed
 // operator, a missing field or an unknown action, or is sent without a quorum.
-func TestInvalidRequestsChangeNothing(t *testing.T) {
+func TestNothingWithoutSession(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
--- a/internal/adapter/operatorhttp/contract_test.go
+++ b/internal/adapter/operatorhttp/contract_test.go
@@ -167,10 +167,10 @@
 	}
 }
 
-// TestProtectedRoutesNeedOperatorToken guards against a protected route that
+// TestNothingWithoutToken guards against a protected route that
 // accepts a request without a token, with a wrong token, with a token's hash, or
 // with the bootstrap token after the first document was applied.
-func TestProtectedRoutesNeedOperatorToken(t *testing.T) {
+func TestNothingWithoutToken(t *testing.T) {
 	requests := []struct{ method, target string }{
 		{"GET", "/v1/document"}, {"PUT", "/v1/document?base=1"}, {"POST", "/v1/validate"},
 		{"POST", "/v1/diff"}, {"GET", "/v1/audit"}, {"POST", "/v1/drains"},
@@ -228,10 +228,10 @@
 	is.Equal(config.Version, uint64(3))
 }
 
-// TestRemovedOperatorCannotChangeDocument guards against a change by an operator
+// TestRemovedOperatorCantRace guards against a change by an operator
 // whose token is replaced after it was checked and before the change is decided. A
 // change based on a version that is still to come must be refused as well.
-func TestRemovedOperatorCannotChangeDocument(t *testing.T) {
+func TestRemovedOperatorCantRace(t *testing.T) {
 	is := is.New(t)
 	store, h := startWithDemo(t)
 	store.BeforeSubmit = func() { t.Error("the change was submitted") }
@@ -248,9 +248,9 @@
 	is.Equal(call(h, "GET", "/v1/document", token, "", "").Code, http.StatusUnauthorized)
 }
 
-// TestInvalidChangeIsRecorded guards against a change with faults that is missing
+// TestRefusedChangeIsRecorded guards against a change with faults that is missing
 // from the audit trail. It stays refused when recording it fails.
-func TestInvalidChangeIsRecorded(t *testing.T) {
+func TestRefusedChangeIsRecorded(t *testing.T) {
 	is := is.New(t)
 	var refused []port.Change
 	h := operatorhttp.New(operatorhttp.Options{
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -16,7 +16,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// callOptions are the options of the call subcommand.
+// callOptions are the flags of the call subcommand.
 type callOptions struct {
 	entries string
 	service string
@@ -30,25 +30,26 @@
 	timeout time.Duration
 }
 
-// runCall looks an entry up and sends one request through it.
+// runCall looks up the entry VMs of a service and sends one request through one of
+// them.
 func runCall(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	flags := newFlags("call", "-entry IP:PORT[,...] -service S [options]", stderr)
 	var o callOptions
-	flags.StringVar(&o.entries, "entry", "", "IP:ports of entries to ask, comma-separated")
+	flags.StringVar(&o.entries, "entry", "", "IP:ports of entry VMs to send the look-up to, comma-separated")
 	flags.StringVar(&o.service, "service", "", "service to call")
-	flags.StringVar(&o.place, "place", "", "the caller's place; empty derives it from its address")
+	flags.StringVar(&o.place, "place", "", "place of the caller; derived from its address if empty")
 	flags.StringVar(&o.method, "method", http.MethodGet, "HTTP method")
-	flags.StringVar(&o.target, "path", "/", "path and query at the endpoint")
+	flags.StringVar(&o.target, "path", "/", "path and query of the request")
 	flags.StringVar(&o.body, "body", "", "body of the request")
-	flags.StringVar(&o.key, "key", "", "whole once-only key of an earlier call, to send it again")
-	flags.BoolVar(&o.once, "once", false, "make a new once-only key from the look-up")
-	flags.StringVar(&o.via, "via", "", "name of the looked-up entry to use; empty uses the first")
-	flags.DurationVar(&o.timeout, "timeout", 2*time.Second, "time that the request may take")
+	flags.StringVar(&o.key, "key", "", "complete once-only key of an earlier call, to resend that call")
+	flags.BoolVar(&o.once, "once", false, "send a new once-only key, which names the first entry VM in the look-up's answer")
+	flags.StringVar(&o.via, "via", "", "name of the entry VM to use, out of the look-up's answer; the first if empty")
+	flags.DurationVar(&o.timeout, "timeout", 2*time.Second, "maximum time of the request, without the look-up")
 	if code, done := parse(flags, args); done {
 		return code
 	}
 	if o.entries == "" || o.service == "" {
-		return fail(stderr, exitUsage, errors.New("-entry and -service are needed"))
+		return fail(stderr, exitUsage, errors.New("the flags -entry and -service are required"))
 	}
 	answer, err := lookup(ctx, strings.Split(o.entries, ","), o.service, o.place)
 	if err != nil {
@@ -63,10 +64,10 @@
 	return exitOK
 }
 
-// errCallFailed means that the answer was a problem document.
-var errCallFailed = errors.New("request failed")
+// errCallFailed means that the response was a problem document.
+var errCallFailed = errors.New("the request failed: the response is a problem document")
 
-// call sends the request to the chosen entry and prints what came back.
+// call sends the request to the chosen entry VM and prints the response.
 func call(ctx context.Context, o callOptions, found port.LookupAnswer, stdout io.Writer) error {
 	entry, err := chooseEntry(found, o.via)
 	if err != nil {
@@ -87,7 +88,7 @@
 			return entry, nil
 		}
 	}
-	return port.LookupEntry{}, fmt.Errorf("the look-up doesn't name entry %q", name)
+	return port.LookupEntry{}, fmt.Errorf("the look-up's answer has no entry %q", name)
 }
 
 func printAnswer(stdout io.Writer, entry port.LookupEntry, key string, r reply) error {
--- a/internal/cli/call_test.go
+++ b/internal/cli/call_test.go
@@ -14,9 +14,10 @@
 	"sassafrasreach/internal/testlink"
 )
 
-// TestSilentEntryConnection lets the connection of the look-up go silent before
-// the request: a safe one is answered in time over a second connection, another
-// one is told may-have-run and sent once.
+// TestSilentEntryConnection guards against a call that waits on a connection that
+// was used for the look-up and then stopped delivering data in both directions. A
+// safe request must get its response in time over a second connection; any other
+// request must fail without being sent again, because it may have run.
 func TestSilentEntryConnection(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		is := is.New(t)
--- a/internal/cli/caller.go
+++ b/internal/cli/caller.go
@@ -14,13 +14,13 @@
 	"sassafrasreach/internal/port"
 )
 
-// lookupTimeout bounds one look-up at one entry.
+// lookupTimeout is the timeout of one look-up at one entry VM.
 const lookupTimeout = time.Second
 
-// errNoEntry means that no entry answered.
-var errNoEntry = errors.New("no entry answered")
+// errNoEntry means that the look-up succeeded at no entry VM.
+var errNoEntry = errors.New("the look-up failed at every entry VM")
 
-// lookup asks the entries in turn until one answers.
+// lookup sends the look-up to the entry VMs in turn until one succeeds.
 func lookup(ctx context.Context, entries []string, service, place string) (port.LookupAnswer, error) {
 	failure := errNoEntry
 	for _, address := range entries {
@@ -53,23 +53,23 @@
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(response.Body, 4<<10))
-		return answer, fmt.Errorf("entry %s: %s: %s", address, response.Status, text)
+		return answer, fmt.Errorf("entry VM %s responded %s: %s", address, response.Status, text)
 	}
 	err = json.NewDecoder(response.Body).Decode(&answer)
 	return answer, err
 }
 
-// runLookup prints the answer of one look-up.
+// runLookup prints the answer to one look-up as JSON.
 func runLookup(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	flags := newFlags("lookup", "-entry IP:PORT[,...] -service S [-place P]", stderr)
-	entries := flags.String("entry", "", "IP:ports of entries to ask, comma-separated")
+	entries := flags.String("entry", "", "IP:ports of entry VMs to send the look-up to, comma-separated")
 	service := flags.String("service", "", "service to look up")
-	place := flags.String("place", "", "the caller's place; empty derives it from its address")
+	place := flags.String("place", "", "place of the caller; derived from its address if empty")
 	if code, done := parse(flags, args); done {
 		return code
 	}
 	if *entries == "" || *service == "" {
-		return fail(stderr, exitUsage, errors.New("-entry and -service are needed"))
+		return fail(stderr, exitUsage, errors.New("the flags -entry and -service are required"))
 	}
 	answer, err := lookup(ctx, strings.Split(*entries, ","), *service, *place)
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -12,7 +12,7 @@
 	"sassafrasreach/internal/cli/ctl"
 )
 
-// Exit codes of every subcommand but ctl.
+// Exit codes of all subcommands except ctl.
 const (
 	exitOK      = 0
 	exitFailure = 1
@@ -33,9 +33,9 @@
 		{"controller", "run a controller on the platform", runController},
 		{"gateway", "run a gateway on the platform", runGateway},
 		{"ctl", "read and change the document, for operators", ctl.Main},
-		{"lookup", "ask which entries to use for a service", runLookup},
-		{"call", "send one request, as a caller does", runCall},
-		{"standin", "run a small endpoint for trials", runStandin},
+		{"lookup", "look up which entry VMs to use for a service", runLookup},
+		{"call", "send one request as a caller", runCall},
+		{"standin", "run a small endpoint for tests", runStandin},
 	}
 }
 
@@ -68,7 +68,7 @@
 	for _, c := range commands() {
 		_, _ = fmt.Fprintf(w, "  %-8s  %s\n", c.name, c.summary)
 	}
-	_, _ = fmt.Fprint(w, "\nsassafrasreach COMMAND -help tells a command's options; -version tells the version.\n")
+	_, _ = fmt.Fprint(w, "\nRun sassafrasreach COMMAND -help for the options of a command, and sassafrasreach -version for the version.\n")
 }
 
 // Version returns the version of the binary, from its build information.
@@ -80,7 +80,7 @@
 	return info.Main.Version
 }
 
-// newFlags returns a flag set that reports errors and help to stderr.
+// newFlags returns a flag set that writes errors and help to stderr.
 func newFlags(name, synopsis string, stderr io.Writer) *flag.FlagSet {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(stderr)
@@ -91,7 +91,7 @@
 	return flags
 }
 
-// parse reads the arguments; done says that the command ends with code.
+// parse parses the arguments; if done is true, the command must exit with code.
 func parse(flags *flag.FlagSet, args []string) (code int, done bool) {
 	err := flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
@@ -103,8 +103,8 @@
 	return exitOK, false
 }
 
-// withSettings reads the arguments and the settings file of a VM's process, and
-// runs it with them. It returns the exit code.
+// withSettings parses the arguments, loads the settings file that they name, and
+// calls run with both. It returns the exit code.
 func withSettings[T any](name string, args []string, stderr io.Writer, load func(path string) (T, error), run func(path string, config T) int) int {
 	flags := newFlags(name, "-settings FILE", stderr)
 	path := flags.String("settings", "", "file with the VM's settings (YAML)")
@@ -118,7 +118,7 @@
 	return run(*path, config)
 }
 
-// listenFor opens the listener for one kind of clients.
+// listenFor opens a TCP listener for one kind of clients, named in the error.
 func listenFor(ctx context.Context, clients, address string) (net.Listener, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return listener, nil
 }
 
-// fail prints an error and returns its code.
+// fail prints an error and returns the exit code.
 func fail(stderr io.Writer, code int, err error) int {
 	_, _ = fmt.Fprintln(stderr, "sassafrasreach:", err)
 	return code
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -22,7 +22,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// controlStopLimit bounds the time in which a control VM's calls end.
+// controlStopLimit is the time for requests in flight to end when a control VM
+// stops.
 const controlStopLimit = 5 * time.Second
 
 // runControl runs a control VM until SIGTERM or SIGINT.
@@ -90,8 +91,8 @@
 	})
 }
 
-// recordRefused submits a change with faults: the node refuses it and keeps
-// that in the audit trail.
+// recordRefused returns a function that submits a change with faults, so that the
+// node refuses it and adds the refusal to the audit trail.
 func recordRefused(node *control.Node) func(context.Context, port.Change) error {
 	return func(ctx context.Context, change port.Change) error {
 		_, err := node.Submit(ctx, change)
@@ -99,7 +100,7 @@
 	}
 }
 
-// validate returns the faults of a document as an error.
+// validate returns the faults of a document as an error, nil if it is valid.
 func validate(text []byte) error {
 	_, err := document.ParseValid(text)
 	return err
@@ -120,7 +121,8 @@
 	return nil
 }
 
-// stopControl ends the listeners after the calls in progress.
+// stopControl closes the listeners and stops the servers once the requests in
+// flight have ended, or after controlStopLimit.
 func stopControl(ctx context.Context, peers *grpc.Server, operators *http.Server) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), controlStopLimit)
 	defer cancel()
--- a/internal/cli/controller.go
+++ b/internal/cli/controller.go
@@ -13,9 +13,9 @@
 	"sassafrasreach/platform"
 )
 
-// handOverTime is how long a stopping controller serves on, so that others take
-// over what it dispatches: a few rounds of news.
-const handOverTime = time.Second
+// handOverPeriod is how long a stopping controller keeps serving, so that other
+// controllers take over what it dispatches: a few rounds of gossip.
+const handOverPeriod = time.Second
 
 // runController runs a controller until SIGTERM or SIGINT.
 func runController(_ context.Context, args []string, stdout, stderr io.Writer) int {
@@ -29,11 +29,11 @@
 	if err != nil {
 		return err
 	}
-	c, err := newControllerOf(p, store)
+	c, err := newController(p, store)
 	if err != nil {
 		return err
 	}
-	listener, err := listenFor(ctx, "the fleet", cmp.Or(p.fleetListen, p.settings.FleetAddress))
+	listener, err := listenFor(ctx, "gateways and controllers", cmp.Or(p.fleetListen, p.settings.FleetAddress))
 	if err != nil {
 		return err
 	}
@@ -56,6 +56,6 @@
 		return err
 	}
 	c.Stop()
-	time.Sleep(handOverTime)
+	time.Sleep(handOverPeriod)
 	return nil
 }
--- a/internal/cli/ctl/change.go
+++ b/internal/cli/ctl/change.go
@@ -14,7 +14,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// changeID returns the ID of the change to make or to resend.
+// changeID returns the ID in -change-id, or a new one.
 func (r *runner) changeID() string {
 	if r.flags.changeID != "" {
 		return r.flags.changeID
@@ -22,14 +22,15 @@
 	return rand.Text()
 }
 
-// base returns the version that the file was made from.
+// base returns the version that the file was made from: that of -base or, without
+// the flag, that of the file's header line.
 func (r *runner) base(header uint64) (uint64, error) {
 	if r.flags.base == "" {
 		return header, nil
 	}
 	base, err := strconv.ParseUint(r.flags.base, 10, 64)
 	if err != nil {
-		return 0, failf(ExitUsage, "-base %q isn't a version; ctl get prints that of the document in force", r.flags.base)
+		return 0, failf(ExitUsage, "-base %q isn't a version number; ctl get prints the version of the document in force", r.flags.base)
 	}
 	return base, nil
 }
@@ -45,7 +46,7 @@
 	}
 	doc, err := document.ParseValid(text)
 	if err != nil {
-		return r.refused(document.FaultsOf(text))
+		return r.faultsError(document.FaultsOf(text))
 	}
 	outcome, err := r.submit(ctx, request{
 		method: http.MethodPut,
@@ -72,7 +73,8 @@
 	return r.edit(ctx, request{method: http.MethodDelete, path: "/v1/drains", query: query})
 }
 
-// edit makes a change of the document in force and waits for it.
+// edit submits a change of the document in force and waits until it is in force at
+// every entry VM.
 func (r *runner) edit(ctx context.Context, req request) error {
 	outcome, err := r.submit(ctx, req)
 	if err != nil {
@@ -80,12 +82,12 @@
 	}
 	entries, err := r.entries(ctx)
 	if err != nil {
-		return failf(ExitNotInForce, "version %d was accepted, but its entries can't be read; ctl status shows where it is in force: %w", outcome.Version, err)
+		return failf(ExitNotInForce, "version %d was accepted, but reading its list of entry VMs failed; ctl status shows at which entry VMs it is in force: %w", outcome.Version, err)
 	}
 	return r.finish(ctx, outcome, entries)
 }
 
-// entries returns the names of the entries of the document in force.
+// entries returns the names of the entry VMs in the document in force.
 func (r *runner) entries(ctx context.Context) ([]string, error) {
 	config, err := r.document(ctx)
 	if err != nil {
@@ -98,7 +100,8 @@
 	return doc.EntryNames(), nil
 }
 
-// submit sends a change and returns its outcome, which is accepted.
+// submit sends a change and returns its outcome. The change was accepted when the
+// error is nil.
 func (r *runner) submit(ctx context.Context, req request) (port.Outcome, error) {
 	req.changeID = r.changeID()
 	got, err := r.client.change(ctx, req)
@@ -107,17 +110,17 @@
 	}
 	var outcome port.Outcome
 	if err := json.Unmarshal(got.body, &outcome); err != nil {
-		return port.Outcome{}, failf(ExitUnknown, "the change may have been accepted, but the reply can't be read; resend it with -change-id %s to learn which: %w", req.changeID, err)
+		return port.Outcome{}, failf(ExitUnknown, "the change may have been accepted, but the response can't be parsed; resend it with -change-id %s to learn its outcome: %w", req.changeID, err)
 	}
 	return outcome, nil
 }
 
-// explainConflict tells how to go on after another change took the version.
+// explainConflict adds to the error of a conflict what the operator can do.
 func (r *runner) explainConflict(err error, problem *operatorhttp.Problem) error {
 	if problem == nil || problem.Code != operatorhttp.CodeConflict || problem.Outcome == nil {
 		return err
 	}
-	return failf(ExitRefused, "%w\nnothing was changed; ctl get shows what won, and its file can be edited and applied", err)
+	return failf(ExitRefused, "%w\nnothing was changed; get the document in force with ctl get, make the change in it and apply it", err)
 }
 
 func (r *runner) lift(ctx context.Context) error {
@@ -130,11 +133,12 @@
 			Lifted string `json:"lifted"`
 		}{r.args[0]})
 	}
-	sayf(r.stdout, "%s is lifted\n", r.args[0])
+	printf(r.stdout, "%s is lifted from quarantine\n", r.args[0])
 	return nil
 }
 
-// finish waits until a change is in force and prints how it ended.
+// finish waits, unless -wait is false, until a change is in force at every entry VM
+// and prints the result.
 func (r *runner) finish(ctx context.Context, outcome port.Outcome, entries []string) error {
 	result := result{Outcome: outcome}
 	if r.flags.wait {
@@ -147,17 +151,18 @@
 	if !r.flags.wait || result.InForce {
 		return nil
 	}
-	return &exitError{code: ExitNotInForce, err: errors.New("the change was accepted but isn't in force everywhere; it stays accepted, and ctl status shows when it is")}
+	return &exitError{code: ExitNotInForce, err: errors.New("the change was accepted but is not yet in force at every entry VM; it stays accepted, and ctl status shows where it is in force")}
 }
 
-// result is what a change came to.
+// result is the result of a change, as -o json prints it.
 type result struct {
-	// Outcome is the decision.
+	// Outcome is the decision on the change.
 	Outcome port.Outcome `json:"outcome"`
-	// InForce says whether every entry has the version; false without -wait.
+	// InForce is true when the version is in force at every entry VM. It is always
+	// false with -wait=false.
 	InForce bool `json:"in_force"`
-	// NotInForce are the entries that don't have it.
-	NotInForce []behind `json:"not_in_force,omitempty"`
+	// NotInForce lists the entry VMs where the version isn't in force.
+	NotInForce []entryBehind `json:"not_in_force,omitempty"`
 }
 
 func (r *runner) printResult(result result) error {
@@ -165,12 +170,12 @@
 		return r.printJSON(result)
 	}
 	o := result.Outcome
-	sayf(r.stdout, "accepted as version %d, digest %.12s, change %s\n", o.Version, o.Digest, o.ChangeID)
+	printf(r.stdout, "accepted as version %d, digest %.12s, change %s\n", o.Version, o.Digest, o.ChangeID)
 	if result.InForce {
-		sayf(r.stdout, "%s\n", "in force at every entry")
+		printf(r.stdout, "%s\n", "in force at every entry")
 	}
 	for _, b := range result.NotInForce {
-		sayf(r.stdout, "not in force at %s\n", b)
+		printf(r.stdout, "not in force at %s\n", b)
 	}
 	return nil
 }
--- a/internal/cli/ctl/client.go
+++ b/internal/cli/ctl/client.go
@@ -19,26 +19,26 @@
 )
 
 const (
-	// tryTimeout bounds one request to one control VM, so that a silent one
-	// doesn't use up the whole time.
+	// tryTimeout is the timeout of one request to one control VM, so that an
+	// unresponsive VM doesn't use up the time of the whole command.
 	tryTimeout = 5 * time.Second
-	// rounds is the number of times that all control VMs are tried while a change
-	// may have been accepted. One that none of them took is tried once.
-	rounds = 3
-	// roundPause is the wait between two rounds.
-	roundPause = 300 * time.Millisecond
-	// maxReplyBytes bounds a reply.
+	// maxRounds is how often a change that may have been accepted is sent to all
+	// control VMs. A change that none of them proposed is sent to each once.
+	maxRounds = 3
+	// roundInterval is the wait between two rounds.
+	roundInterval = 300 * time.Millisecond
+	// maxReplyBytes is the maximum size of a response.
 	maxReplyBytes = 64 << 20
 )
 
-// client sends requests to the control VMs.
+// client sends requests to the control VMs at the URLs in members.
 type client struct {
 	members []string
 	token   string
 	http    *http.Client
 }
 
-// request is one request to any control VM.
+// request is a request that can be sent to any control VM.
 type request struct {
 	method, path string
 	query        url.Values
@@ -46,7 +46,8 @@
 	body         []byte
 }
 
-// reply is a decision of a control VM: success or a definite problem.
+// reply is a decision of a control VM: success, with problem nil, or a problem
+// with a status below 500.
 type reply struct {
 	header  http.Header
 	body    []byte
@@ -62,12 +63,12 @@
 		}
 		u, err := url.Parse(text)
 		if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-			return nil, fmt.Errorf("-control: %q isn't a URL such as http://127.0.1.1:17081", text)
+			return nil, fmt.Errorf("-control: %q isn't a URL of the form http://127.0.1.1:17081", text)
 		}
 		c.members = append(c.members, text)
 	}
 	if len(c.members) == 0 {
-		return nil, errors.New("-control needs at least one URL")
+		return nil, errors.New("-control must have at least one URL")
 	}
 	if tokenFile == "" {
 		return c, nil
@@ -78,13 +79,13 @@
 	}
 	c.token = strings.TrimSpace(string(text))
 	if c.token == "" {
-		return nil, fmt.Errorf("-token-file: %s is empty", tokenFile)
+		return nil, fmt.Errorf("-token-file: the file %s is empty", tokenFile)
 	}
 	return c, nil
 }
 
-// read sends a request that changes nothing to each control VM in turn until
-// one decides. The error carries ExitRefused or ExitUnknown.
+// read sends a read-only request to each control VM in turn until one decides. The
+// exit code of an error is ExitRefused or ExitUnknown.
 func (c *client) read(ctx context.Context, req request) (reply, error) {
 	var last error
 	for _, member := range c.members {
@@ -98,27 +99,28 @@
 		}
 		return got, nil
 	}
-	return reply{}, failf(ExitUnknown, "no control VM decides; ctl status tells which answer and whether they have a quorum: %w", last)
+	return reply{}, failf(ExitUnknown, "no control VM gave a decision; ctl status shows which ones respond and whether they have a quorum; last error: %w", last)
 }
 
-// change sends a change to each control VM in turn until one decides. The
-// change ID stays the same. Once an attempt may have been accepted, only a
-// reply that tells the change's outcome counts as a decision.
+// change sends a change to each control VM in turn until one decides, always with
+// the same change ID. Once an attempt may have been accepted, only success or a
+// problem with the change's outcome counts as a decision: another problem, such as
+// a refused token, doesn't show whether that attempt was accepted.
 func (c *client) change(ctx context.Context, req request) (reply, error) {
 	var last error
-	maybe := false
-	for round := range rounds {
-		if round > 0 && (!maybe || !wait.For(ctx, roundPause)) {
+	mayBeAccepted := false
+	for round := range maxRounds {
+		if round > 0 && (!mayBeAccepted || !wait.For(ctx, roundInterval)) {
 			break
 		}
 		for _, member := range c.members {
 			got, err := c.try(ctx, member, req)
 			if err != nil {
 				last = err
-				maybe = maybe || mayHaveArrived(err)
+				mayBeAccepted = mayBeAccepted || mayHaveBeenAccepted(err)
 				continue
 			}
-			if maybe && got.problem != nil && got.problem.Outcome == nil {
+			if mayBeAccepted && got.problem != nil && got.problem.Outcome == nil {
 				last = problemError(got.problem)
 				continue
 			}
@@ -128,14 +130,14 @@
 			return got, nil
 		}
 	}
-	if !maybe {
-		return reply{}, failf(ExitUnknown, "no control VM decides, and none took the change %s; nothing was changed, and ctl status tells which answer: %w", req.changeID, last)
+	if !mayBeAccepted {
+		return reply{}, failf(ExitUnknown, "no control VM gave a decision, and none proposed the change %s, so nothing was changed; ctl status shows which ones respond; last error: %w", req.changeID, last)
 	}
-	return reply{}, failf(ExitUnknown, "the change may have been accepted; resend it with -change-id %s to learn which: %w", req.changeID, last)
+	return reply{}, failf(ExitUnknown, "the change may have been accepted; resend it with -change-id %s to learn its outcome; last error: %w", req.changeID, last)
 }
 
-// try sends one request to one control VM. It returns an error when that VM
-// gave no decision.
+// try sends a request to one control VM. It returns an error when that VM gave no
+// decision.
 func (c *client) try(ctx context.Context, member string, req request) (reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
@@ -162,17 +164,18 @@
 	if err != nil {
 		return reply{}, fmt.Errorf("%s: %w", member, err)
 	}
-	return decide(member, resp, body)
+	return parseReply(member, resp, body)
 }
 
-// decide tells a decision from the lack of one.
-func decide(member string, resp *http.Response, body []byte) (reply, error) {
+// parseReply returns the decision in a response. It returns an error when the
+// response is no decision: a status of 500 or more, or no problem document.
+func parseReply(member string, resp *http.Response, body []byte) (reply, error) {
 	if resp.StatusCode < http.StatusMultipleChoices {
 		return reply{header: resp.Header, body: body}, nil
 	}
 	var p operatorhttp.Problem
 	if err := json.Unmarshal(body, &p); err != nil || p.Code == "" {
-		return reply{}, fmt.Errorf("%s: status %s without a problem document", member, resp.Status)
+		return reply{}, fmt.Errorf("%s: the response with status %s is not a problem document", member, resp.Status)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return reply{}, fmt.Errorf("%s: %w", member, &p)
@@ -180,10 +183,10 @@
 	return reply{header: resp.Header, problem: &p}, nil
 }
 
-// mayHaveArrived says whether a failed attempt may have been accepted. It is
-// not when no connection was made or when the VM says that nothing was
-// proposed.
-func mayHaveArrived(err error) bool {
+// mayHaveBeenAccepted reports whether a change may have been accepted although the
+// attempt failed. It can't when no connection was made or when the VM responded
+// with CodeNoQuorum, after which nothing was proposed.
+func mayHaveBeenAccepted(err error) bool {
 	var p *operatorhttp.Problem
 	if errors.As(err, &p) {
 		return p.Code != operatorhttp.CodeNoQuorum
@@ -192,7 +195,7 @@
 	return !errors.As(err, &op) || op.Op != "dial"
 }
 
-// problemError is the error of a definite problem, with its faults.
+// problemError returns the error of a problem, with one line for each fault.
 func problemError(p *operatorhttp.Problem) error {
 	lines := []string{p.Error()}
 	for _, f := range p.Faults {
--- a/internal/cli/ctl/ctl_test.go
+++ b/internal/cli/ctl/ctl_test.go
@@ -21,7 +21,8 @@
 	"sassafrasreach/internal/port/porttest"
 )
 
-// bench is a control VM over a store in memory, and files for the client.
+// bench is a test bench: a control VM with an in-memory store, and files and
+// outputs of the client.
 type bench struct {
 	t          *testing.T
 	store      *porttest.Store
@@ -75,8 +76,8 @@
 	b.store.SetEntries(out)
 }
 
-// run runs the client; $URL and $DIR in the arguments are the bench's own, and
-// later flags win over the ones set here.
+// run runs the client. It replaces $URL and $DIR in the arguments with the bench's
+// own; flags in the arguments override those that it sets.
 func (b *bench) run(args ...string) int {
 	b.outs.Reset()
 	b.errs.Reset()
@@ -93,8 +94,10 @@
 	return config.Version
 }
 
+// TestCommands checks the exit code and output of each command when it succeeds
+// and for each kind of failure: operators' scripts rely on the codes.
 func TestCommands(t *testing.T) {
-	const dead = "http://127.0.0.1:1"
+	const unreachable = "http://127.0.0.1:1"
 	fingerprint := document.Digest([]byte("crashing request"))
 	noQuorum := func(b *bench) { b.store.NoQuorum = true }
 	drained := func(b *bench) { b.run("drain", "norte-a", "-reason", "repair") }
@@ -122,8 +125,8 @@
 		{"wrong token", nil, "get -token-file $DIR/other", 1, "unauthorized"},
 		{"get", nil, "get", 0, "# document version 1, digest"},
 		{"get JSON", nil, "get -o json", 0, `"version": 1`},
-		{"get from the second", nil, "get -control " + dead + ",$URL", 0, "belt-control"},
-		{"get from none", nil, "get -control " + dead, 3, "no control VM decides"},
+		{"get from the second", nil, "get -control " + unreachable + ",$URL", 0, "belt-control"},
+		{"get from none", nil, "get -control " + unreachable, 3, "no control VM gave a decision"},
 		{"get without quorum", noQuorum, "get", 3, "no-quorum"},
 		{"status", nil, "status", 0, "norte-b-2"},
 		{"status without quorum", noQuorum, "status", 0, "quorum false"},
@@ -134,9 +137,9 @@
 		{"apply faults", nil, "apply $DIR/faults.yaml", 1, "faults.yaml: regions"},
 		{"apply", nil, "apply $DIR/demo.yaml -base 1", 0, "in force at every entry"},
 		{"apply from an older version", nil, "apply $DIR/demo.yaml", 1, "nothing was changed"},
-		{"apply without quorum", noQuorum, "apply $DIR/demo.yaml -base 1", 3, "none took the change"},
-		{"apply to none", nil, "apply $DIR/demo.yaml -base 1 -control " + dead, 3, "none took the change"},
-		{"apply, one entry late", late, "apply $DIR/demo.yaml -base 1 -timeout 300ms", 4, "not in force at norte-b-2 (never heard of)"},
+		{"apply without quorum", noQuorum, "apply $DIR/demo.yaml -base 1", 3, "none proposed the change"},
+		{"apply to none", nil, "apply $DIR/demo.yaml -base 1 -control " + unreachable, 3, "none proposed the change"},
+		{"apply, one entry late", late, "apply $DIR/demo.yaml -base 1 -timeout 300ms", 4, "not in force at norte-b-2 (no report received)"},
 		{"apply, not waiting", late, "apply $DIR/demo.yaml -base 1 -wait=false", 0, "accepted as version 2"},
 		{"drain", nil, "drain norte-a -reason repair", 0, "accepted as version 2"},
 		{"drain, one entry late", late, "drain norte-a -reason repair -timeout 300ms", 4, "not in force at norte-b-2"},
@@ -145,7 +148,7 @@
 		{"undrain of nothing", nil, "undrain norte-a", 1, "no such drain"},
 		{"lift", nil, "lift " + fingerprint, 0, fingerprint + " is lifted"},
 		{"lift of no fingerprint", nil, "lift abc", 1, "64 hex digits"},
-		{"lift without quorum", noQuorum, "lift " + fingerprint, 3, "none took the change"},
+		{"lift without quorum", noQuorum, "lift " + fingerprint, 3, "none proposed the change"},
 		{"lift in the audit trail", func(b *bench) { b.run("lift", fingerprint) }, "audit", 0, "lifted    1     1   " + fingerprint},
 		{"audit", drained, "audit", 0, "trial"},
 	}
@@ -166,8 +169,8 @@
 	}
 }
 
-// TestResendKeepsTheChangeID cuts the connection after the decision, then lets
-// the outcome get lost, and checks that one version was made of one change.
+// TestResendKeepsTheChangeID guards against a change that becomes two versions: its
+// connection is cut after the decision, or its outcome is lost, and it is resent.
 func TestResendKeepsTheChangeID(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
@@ -190,21 +193,23 @@
 	is.Equal(b.version(), uint64(4))
 }
 
-// TestRefusalAfterLostAnswer checks that a refusal that tells no outcome isn't
-// believed once the change may have been accepted.
+// TestRefusalAfterLostAnswer guards against reporting an accepted change as
+// refused: one control VM accepts it but its response is lost, and another one
+// refuses the resend without an outcome, here because it doesn't know the token.
 func TestRefusalAfterLostAnswer(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
 	b.store.LoseAnswers = 1
-	stranger := b.serve(operatorhttp.New(operatorhttp.Options{Store: &porttest.Store{}, Logger: slog.New(slog.DiscardHandler)}))
-	code := b.run("apply", b.file, "-base", "1", "-control", b.url+","+stranger, "-timeout", "250ms")
+	unrelated := b.serve(operatorhttp.New(operatorhttp.Options{Store: &porttest.Store{}, Logger: slog.New(slog.DiscardHandler)}))
+	code := b.run("apply", b.file, "-base", "1", "-control", b.url+","+unrelated, "-timeout", "250ms")
 	is.Equal(code, int(ctl.ExitUnknown))
 	is.Equal(b.version(), uint64(2))
 }
 
-// TestNobodyTook checks that a change that no control VM took is tried once at
-// each, so that a late attempt can't leave its outcome open.
-func TestNobodyTook(t *testing.T) {
+// TestUnproposedChangeIsSentOnce checks that a change that no control VM proposed
+// is sent to each of them once. A further attempt could be accepted with its
+// response lost, and leave the outcome unknown.
+func TestUnproposedChangeIsSentOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
 	b.store.NoQuorum = true
@@ -214,11 +219,12 @@
 		b.handler.ServeHTTP(w, r)
 	}))
 	is.Equal(b.run("undrain", "norte-a", "-control", counted+",http://127.0.0.1:1,"+counted), int(ctl.ExitUnknown))
-	is.True(strings.Contains(b.errs.String(), "none took the change"))
+	is.True(strings.Contains(b.errs.String(), "none proposed the change"))
 	is.Equal(tries, 2)
 }
 
-// TestRace lets two operators apply files that were made from one version.
+// TestRace guards against overwriting another operator's change: two operators apply
+// files that were made from the same version.
 func TestRace(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
@@ -233,7 +239,9 @@
 	is.Equal(strings.Count(b.outs.String(), "# document version"), 1)
 }
 
-func TestAppliedOnceInForce(t *testing.T) {
+// TestApplyWaitsUntilInForce guards against an apply that succeeds before its
+// version is in force at the entry VMs.
+func TestApplyWaitsUntilInForce(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
 	b.inForce(entries, 1)
@@ -248,9 +256,9 @@
 	is.Equal(result.Outcome.Version, uint64(2))
 }
 
-// TestAlteredReplies checks that a document that doesn't match its digest and
-// an audit trail that doesn't chain are told.
-func TestAlteredReplies(t *testing.T) {
+// TestAlteredRepliesAreReported guards against accepting a document that doesn't
+// match its digest, or an audit trail whose hash chain is broken.
+func TestAlteredRepliesAreReported(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
 	altered := b.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -267,7 +275,7 @@
 	is.Equal(b.run("audit", "-control", altered), int(ctl.ExitRefused))
 	is.True(strings.Contains(b.errs.String(), "was altered"))
 
-	// Two records whose links are right, but whose hashes are made up.
+	// Two records that are linked correctly, but whose hashes don't match them.
 	linked := b.serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`[{"hash":"a"},{"previous":"a","hash":"b"}]`))
 	}))
--- a/internal/cli/ctl/exit.go
+++ b/internal/cli/ctl/exit.go
@@ -5,26 +5,28 @@
 	"strings"
 )
 
-// ExitCode is the status that the client ends with.
+// ExitCode is the exit code of the client.
 type ExitCode int
 
 const (
-	// ExitOK means that all was done.
+	// ExitOK means that the command succeeded.
 	ExitOK ExitCode = 0
-	// ExitRefused means that the request was refused; nothing was changed.
+	// ExitRefused means that the request was refused, or that the file has faults
+	// or the audit trail was altered; nothing was changed.
 	ExitRefused ExitCode = 1
-	// ExitUsage means that the arguments or the files they name are wrong;
+	// ExitUsage means that the arguments, or the files that they name, are wrong;
 	// nothing was sent.
 	ExitUsage ExitCode = 2
-	// ExitUnknown means that no control VM gave a decision: a change may have
-	// been accepted, and a resend with the same change ID tells.
+	// ExitUnknown means that no control VM gave a decision, or that a response
+	// couldn't be parsed or was altered: a change may have been accepted, and a
+	// resend with the same change ID returns its outcome.
 	ExitUnknown ExitCode = 3
-	// ExitNotInForce means that the change was accepted but isn't in force at
-	// every entry yet.
+	// ExitNotInForce means that the change was accepted but isn't yet in force at
+	// every entry VM, or that this couldn't be checked.
 	ExitNotInForce ExitCode = 4
 )
 
-// exitMeanings are the codes in words, as the help shows them.
+// exitMeanings lists the exit codes and their meanings, as the help shows them.
 var exitMeanings = []struct {
 	code    ExitCode
 	meaning string
@@ -36,7 +38,7 @@
 	{ExitNotInForce, "accepted but not yet in force everywhere"},
 }
 
-// exitHelp lists the codes in one line.
+// exitHelp returns the line of the help that lists the exit codes.
 func exitHelp() string {
 	items := make([]string, len(exitMeanings))
 	for i, m := range exitMeanings {
@@ -45,7 +47,7 @@
 	return "Exit codes: " + strings.Join(items, ", ") + "."
 }
 
-// exitError is an error with the code that it ends the client with.
+// exitError is an error with the exit code that the client returns for it.
 type exitError struct {
 	code ExitCode
 	err  error
@@ -58,7 +60,8 @@
 	return &exitError{code: code, err: fmt.Errorf(format, args...)}
 }
 
-// unreadable is the error of a reply that isn't a control VM's.
-func unreadable(err error) error {
-	return failf(ExitUnknown, "the reply can't be read; -control needs the control VMs' operator_listen: %w", err)
+// unreadableReply returns the error of a response that doesn't parse, as when
+// -control names a server that isn't a control VM's.
+func unreadableReply(err error) error {
+	return failf(ExitUnknown, "the response can't be parsed; -control must have the URLs of the control VMs' operator_listen: %w", err)
 }
--- a/internal/cli/ctl/main.go
+++ b/internal/cli/ctl/main.go
@@ -16,19 +16,19 @@
 // DefaultTimeout is the default of the flag -timeout.
 const DefaultTimeout = 30 * time.Second
 
-// Options are what the client works with besides its arguments.
+// Options are the client's dependencies.
 type Options struct {
 	// VerifyAudit checks the hash chain of an audit trail.
 	VerifyAudit func(records []port.AuditRecord) error
 }
 
-// Main runs one command and returns the exit code. It verifies audit trails with
+// Main runs one command and returns its exit code. It verifies audit trails with
 // audit.Verify.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	return Run(ctx, args, stdout, stderr, Options{VerifyAudit: audit.Verify})
 }
 
-// Run is Main with options.
+// Run runs one command with options and returns its exit code.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer, options Options) int {
 	r := &runner{options: options, stdout: stdout, stderr: stderr}
 	err := r.run(ctx, args)
@@ -39,11 +39,11 @@
 	if !errors.As(err, &coded) {
 		coded = &exitError{code: ExitUnknown, err: err}
 	}
-	sayf(stderr, "ctl: %v\n", err)
+	printf(stderr, "ctl: %v\n", err)
 	return int(coded.code)
 }
 
-// runner runs one command.
+// runner holds the state of one command.
 type runner struct {
 	options        Options
 	stdout, stderr io.Writer
@@ -68,9 +68,9 @@
 // command is one subcommand.
 type command struct {
 	name, args, help string
-	// needs is the number of positional arguments.
-	needs int
-	// local commands don't need a control VM.
+	// argCount is the number of positional arguments.
+	argCount int
+	// local means that the command works without a control VM.
 	local bool
 	run   func(*runner, context.Context) error
 }
@@ -78,14 +78,14 @@
 func commands() []command {
 	return []command{
 		{name: "get", help: "print the document in force", run: (*runner).get},
-		{name: "diff", args: "FILE", help: "show what a document would change", needs: 1, run: (*runner).diff},
-		{name: "apply", args: "FILE", help: "replace the document and wait until it is in force", needs: 1, run: (*runner).apply},
-		{name: "validate", args: "FILE", help: "show all faults of a document; asks no control VM without -control", needs: 1, local: true, run: (*runner).validate},
-		{name: "audit", help: "list the changes and verify their chain", run: (*runner).audit},
-		{name: "status", help: "show the control VM and the version in force at each entry", run: (*runner).status},
-		{name: "drain", args: "PLACE", help: "take a place out of use", needs: 1, run: (*runner).drain},
-		{name: "undrain", args: "PLACE", help: "take a place back into use", needs: 1, run: (*runner).undrain},
-		{name: "lift", args: "FINGERPRINT", help: "take a request out of quarantine", needs: 1, run: (*runner).lift},
+		{name: "diff", args: "FILE", help: "show what a document would change", argCount: 1, run: (*runner).diff},
+		{name: "apply", args: "FILE", help: "replace the document and wait until it is in force", argCount: 1, run: (*runner).apply},
+		{name: "validate", args: "FILE", help: "show all faults of a document; contacts control VMs only with -control", argCount: 1, local: true, run: (*runner).validate},
+		{name: "audit", help: "list the changes, refused ones included, and verify their hash chain", run: (*runner).audit},
+		{name: "status", help: "show the status of a control VM and the version in force at each entry", run: (*runner).status},
+		{name: "drain", args: "PLACE", help: "take a place out of use", argCount: 1, run: (*runner).drain},
+		{name: "undrain", args: "PLACE", help: "take a place back into use", argCount: 1, run: (*runner).undrain},
+		{name: "lift", args: "FINGERPRINT", help: "take a request out of quarantine", argCount: 1, run: (*runner).lift},
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	if flags.NArg() == 0 {
 		flags.Usage()
-		return failf(ExitUsage, "a command is needed; they are listed above")
+		return failf(ExitUsage, "a command is needed; the usage above lists the commands")
 	}
 	name := flags.Arg(0)
 	positional, err := parseRest(flags, flags.Args()[1:])
@@ -105,10 +105,10 @@
 	}
 	for _, c := range commands() {
 		if c.name == name {
-			return r.start(ctx, c, positional)
+			return r.runCommand(ctx, c, positional)
 		}
 	}
-	return failf(ExitUsage, "there is no command %q; see ctl -help", name)
+	return failf(ExitUsage, "there is no command %q; ctl -help lists the commands", name)
 }
 
 func (r *runner) flagSet() *flag.FlagSet {
@@ -117,31 +117,31 @@
 	f := &r.flags
 	flags.StringVar(&f.control, "control", "", "comma-separated `URLs` of the control VMs, such as http://127.0.1.1:17081")
 	flags.StringVar(&f.tokenFile, "token-file", "", "`file` that holds the operator's token")
-	flags.StringVar(&f.output, "o", "text", "output `format`: text or json")
-	flags.DurationVar(&f.timeout, "timeout", DefaultTimeout, "`time` that the whole command may take")
-	flags.StringVar(&f.base, "base", "", "apply: `version` that the file was made from; by default that of its first line, written by get, and otherwise 0")
-	flags.StringVar(&f.changeID, "change-id", "", "apply, drain, undrain, lift: `ID` of a change to resend; by default a new one")
-	flags.StringVar(&f.service, "service", "", "drain, undrain: `service`; by default all")
-	flags.StringVar(&f.reason, "reason", "", "drain: `text` shown to other operators")
-	flags.BoolVar(&f.wait, "wait", true, "apply, drain, undrain: wait until the change is in force")
+	flags.StringVar(&f.output, "o", "text", "output `format`, text or json")
+	flags.DurationVar(&f.timeout, "timeout", DefaultTimeout, "maximum `time` of the whole command")
+	flags.StringVar(&f.base, "base", "", "apply: `version` that the file was made from; by default the one in its first line, which get writes; without that line, 0")
+	flags.StringVar(&f.changeID, "change-id", "", "apply, drain, undrain, lift: `ID` of a change to resend; by default a new ID")
+	flags.StringVar(&f.service, "service", "", "drain, undrain: `service` to drain; by default all services")
+	flags.StringVar(&f.reason, "reason", "", "drain: `text` shown to other operators; required")
+	flags.BoolVar(&f.wait, "wait", true, "apply, drain, undrain: wait until the change is in force at every entry")
 	flags.Usage = func() { r.usage(flags) }
 	return flags
 }
 
 func (r *runner) usage(flags *flag.FlagSet) {
-	sayf(r.stderr, "%s\n", "Usage: ctl COMMAND [ARGUMENT] [FLAGS]")
+	printf(r.stderr, "%s\n", "Usage: ctl COMMAND [ARGUMENT] [FLAGS]")
 	table := tabwriter.NewWriter(r.stderr, 0, 0, 2, ' ', 0)
 	for _, c := range commands() {
-		sayf(table, "  %s %s\t%s\n", c.name, c.args, c.help)
+		printf(table, "  %s %s\t%s\n", c.name, c.args, c.help)
 	}
 	_ = table.Flush()
-	sayf(r.stderr, "%s\n", "Flags:")
+	printf(r.stderr, "%s\n", "Flags:")
 	flags.PrintDefaults()
-	sayf(r.stderr, "%s\n", exitHelp())
+	printf(r.stderr, "%s\n", exitHelp())
 }
 
-// parseRest parses flags that stand before, between or after the positional
-// arguments, and returns these.
+// parseRest parses the flags before, between and after the positional arguments,
+// and returns the positional arguments.
 func parseRest(flags *flag.FlagSet, args []string) ([]string, error) {
 	var positional []string
 	for {
@@ -163,16 +163,17 @@
 	return &exitError{code: ExitUsage, err: err}
 }
 
-// start checks what the command needs and runs it.
-func (r *runner) start(ctx context.Context, c command, positional []string) error {
-	if len(positional) != c.needs {
+// runCommand checks the arguments and flags, creates the client and runs the
+// command.
+func (r *runner) runCommand(ctx context.Context, c command, positional []string) error {
+	if len(positional) != c.argCount {
 		return failf(ExitUsage, "usage: ctl %s", strings.TrimSpace(c.name+" "+c.args))
 	}
 	if r.flags.output != "text" && r.flags.output != "json" {
-		return failf(ExitUsage, "-o is text or json, not %q", r.flags.output)
+		return failf(ExitUsage, "-o must be text or json, not %q", r.flags.output)
 	}
 	if r.flags.timeout <= 0 {
-		return failf(ExitUsage, "-timeout must be above 0")
+		return failf(ExitUsage, "-timeout must be greater than 0")
 	}
 	r.args = positional
 	if r.flags.control != "" || !c.local {
--- a/internal/cli/ctl/output.go
+++ b/internal/cli/ctl/output.go
@@ -7,8 +7,9 @@
 	"text/tabwriter"
 )
 
-// sayf prints text. Output that nobody reads any more is no error.
-func sayf(w io.Writer, format string, args ...any) {
+// printf writes formatted text. It ignores write errors, which mean that the reader
+// has closed the output.
+func printf(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
 
--- a/internal/cli/ctl/read.go
+++ b/internal/cli/ctl/read.go
@@ -14,7 +14,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// document reads the document in force.
+// document reads the document in force and checks its digest.
 func (r *runner) document(ctx context.Context) (port.Config, error) {
 	got, err := r.client.read(ctx, request{method: http.MethodGet, path: "/v1/document"})
 	if err != nil {
@@ -22,11 +22,11 @@
 	}
 	version, err := strconv.ParseUint(got.header.Get(operatorhttp.HeaderVersion), 10, 64)
 	if err != nil {
-		return port.Config{}, unreadable(err)
+		return port.Config{}, unreadableReply(err)
 	}
 	digest := document.Digest(got.body)
 	if want := got.header.Get(operatorhttp.HeaderDigest); want != digest {
-		return port.Config{}, failf(ExitUnknown, "the document was altered on its way: its digest is %s, not %s; get it from another control VM", digest, want)
+		return port.Config{}, failf(ExitUnknown, "the document was altered in transit: its digest is %s, not %s; get it from another control VM", digest, want)
 	}
 	return port.Config{Version: version, Digest: digest, Document: got.body}, nil
 }
@@ -42,7 +42,7 @@
 	}
 	doc, err := document.Parse(config.Document)
 	if err != nil {
-		return failf(ExitUnknown, "the document in force can't be read: %w", err)
+		return failf(ExitUnknown, "the document in force can't be parsed: %w", err)
 	}
 	return r.printJSON(struct {
 		Version  uint64             `json:"version"`
@@ -51,7 +51,8 @@
 	}{config.Version, config.Digest, doc})
 }
 
-// file reads the document that the argument names, and its header's version.
+// file reads the file that the argument names. It returns the version in its header
+// line, or 0, and the text below that line.
 func (r *runner) file() (uint64, []byte, error) {
 	text, err := os.ReadFile(r.args[0])
 	if err != nil {
@@ -72,14 +73,14 @@
 	}
 	var comparison operatorhttp.Comparison
 	if err := json.Unmarshal(got.body, &comparison); err != nil {
-		return unreadable(err)
+		return unreadableReply(err)
 	}
 	if r.json() {
 		return r.printJSON(comparison)
 	}
-	sayf(r.stdout, "against version %d\n", comparison.Version)
+	printf(r.stdout, "compared with version %d\n", comparison.Version)
 	for _, d := range comparison.Differences {
-		sayf(r.stdout, "%s: %s -> %s\n", d.Path, orNone(d.Before), orNone(d.After))
+		printf(r.stdout, "%s: %s -> %s\n", d.Path, orNone(d.Before), orNone(d.After))
 	}
 	return nil
 }
@@ -111,20 +112,20 @@
 		}
 	}
 	if len(faults) > 0 {
-		return r.refused(faults)
+		return r.faultsError(faults)
 	}
 	if !r.json() {
-		sayf(r.stdout, "valid, digest %s\n", document.Digest(text))
+		printf(r.stdout, "valid, digest %s\n", document.Digest(text))
 	}
 	return nil
 }
 
-// refused is the error of a document with faults, one fault a line.
-func (r *runner) refused(faults document.Faults) error {
+// faultsError prints the faults of a document, one per line, and returns the error.
+func (r *runner) faultsError(faults document.Faults) error {
 	for _, f := range faults {
-		sayf(r.stderr, "%s: %s\n", r.args[0], f)
+		printf(r.stderr, "%s: %s\n", r.args[0], f)
 	}
-	return failf(ExitRefused, "%s has %d faults; mend the fields above", r.args[0], len(faults))
+	return failf(ExitRefused, "%s has %d faults; correct the fields listed above", r.args[0], len(faults))
 }
 
 func (r *runner) audit(ctx context.Context) error {
@@ -134,13 +135,13 @@
 	}
 	var records []port.AuditRecord
 	if err := json.Unmarshal(got.body, &records); err != nil {
-		return unreadable(err)
+		return unreadableReply(err)
 	}
 	if err := r.printAudit(records); err != nil {
 		return err
 	}
 	if err := r.options.VerifyAudit(records); err != nil {
-		return failf(ExitRefused, "the audit trail was altered; keep a copy (-o json) and ask the other control VMs one by one: %w", err)
+		return failf(ExitRefused, "the audit trail was altered; keep a copy of it (-o json) and run ctl audit against each other control VM: %w", err)
 	}
 	return nil
 }
@@ -150,16 +151,16 @@
 		return r.printJSON(records)
 	}
 	table := r.table()
-	sayf(table, "%s\n", "TIME\tOPERATOR\tSTATE\tFROM\tTO\tDIGEST\tCHANGE")
+	printf(table, "%s\n", "TIME\tOPERATOR\tSTATE\tFROM\tTO\tDIGEST\tCHANGE")
 	for _, a := range records {
-		sayf(table, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n",
+		printf(table, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n",
 			a.Time.UTC().Format(time.RFC3339), a.Operator, a.State, a.From, a.To, shownDigest(a), a.ChangeID)
 	}
 	return table.Flush()
 }
 
-// shownDigest is the start of a document's digest, and the whole fingerprint of a
-// lift, which nothing else shows any more.
+// shownDigest returns the first 12 digits of a document's digest, or the whole
+// fingerprint of a lift, since a lifted fingerprint isn't in the status any more.
 func shownDigest(a port.AuditRecord) string {
 	if a.State == port.ChangeLifted {
 		return a.Digest
@@ -174,16 +175,16 @@
 	}
 	var status port.ControlStatus
 	if err := json.Unmarshal(got.body, &status); err != nil {
-		return unreadable(err)
+		return unreadableReply(err)
 	}
 	if r.json() {
 		return r.printJSON(status)
 	}
-	sayf(r.stdout, "member %s, quorum %t, version %d, digest %.12s\n", status.Member, status.Quorum, status.Version, status.Digest)
+	printf(r.stdout, "member %s, quorum %t, version %d, digest %.12s\n", status.Member, status.Quorum, status.Version, status.Digest)
 	table := r.table()
-	sayf(table, "%s\n", "ENTRY\tPLACE\tVERSION\tAGE\tQUARANTINED")
+	printf(table, "%s\n", "ENTRY\tPLACE\tVERSION\tAGE\tQUARANTINED")
 	for _, e := range status.Entries {
-		sayf(table, "%s\t%s\t%d\t%v\t%d\n", e.Name, e.Place, e.Version, e.Age.Round(time.Millisecond), len(e.Quarantined))
+		printf(table, "%s\t%s\t%d\t%v\t%d\n", e.Name, e.Place, e.Version, e.Age.Round(time.Millisecond), len(e.Quarantined))
 	}
 	return table.Flush()
 }
--- a/internal/cli/ctl/reference_test.go
+++ b/internal/cli/ctl/reference_test.go
@@ -14,9 +14,9 @@
 	"sassafrasreach/internal/event"
 )
 
-// TestReferenceIsAlike compares the page with the client's own help: commands
-// with their arguments, flags with their defaults, and exit codes.
-func TestReferenceIsAlike(t *testing.T) {
+// TestReferenceMatchesHelp fails when a command, argument, flag, default or exit
+// code in the client's help differs from the page ctl.md.
+func TestReferenceMatchesHelp(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
 	is.Equal(b.run("-help"), 0)
@@ -25,11 +25,11 @@
 	is.NoErr(err)
 	page := string(text)
 
-	is.Equal(len(found(help, `(?m)^  ([a-z]+(?: [A-Z]+)?) +\S`)), 9)
-	is.Equal(found(help, `([0-9]) [a-z]`), []string{"0", "1", "2", "3", "4"})
-	is.Equal(found(page, "(?m)^\\| `([a-z][^`]*)` \\|"), found(help, `(?m)^  ([a-z]+(?: [A-Z]+)?) +\S`))
-	is.Equal(found(page, "(?m)^\\| `-([^`]*)` \\|"), found(help, `(?m)^  -(\S+)`))
-	is.Equal(found(page, "(?m)^\\| ([0-9]) \\|"), found(help, `([0-9]) [a-z]`))
+	is.Equal(len(sortedMatches(help, `(?m)^  ([a-z]+(?: [A-Z]+)?) +\S`)), 9)
+	is.Equal(sortedMatches(help, `([0-9]) [a-z]`), []string{"0", "1", "2", "3", "4"})
+	is.Equal(sortedMatches(page, "(?m)^\\| `([a-z][^`]*)` \\|"), sortedMatches(help, `(?m)^  ([a-z]+(?: [A-Z]+)?) +\S`))
+	is.Equal(sortedMatches(page, "(?m)^\\| `-([^`]*)` \\|"), sortedMatches(help, `(?m)^  -(\S+)`))
+	is.Equal(sortedMatches(page, "(?m)^\\| ([0-9]) \\|"), sortedMatches(help, `([0-9]) [a-z]`))
 	for _, m := range regexp.MustCompile("(?m)^\\| `(-[^`]*)` \\| ([^|]*) \\|").FindAllStringSubmatch(page, -1) {
 		_, rest, _ := strings.Cut(help, "  "+m[1])
 		own, _, _ := strings.Cut(rest, "\n  -")
@@ -40,8 +40,8 @@
 	}
 }
 
-// found returns the sorted first groups of a pattern's matches.
-func found(text, pattern string) []string {
+// sortedMatches returns the first group of each match of a pattern, sorted.
+func sortedMatches(text, pattern string) []string {
 	var out []string
 	for _, m := range regexp.MustCompile(pattern).FindAllStringSubmatch(text, -1) {
 		out = append(out, strings.TrimSpace(m[1]))
@@ -50,9 +50,9 @@
 	return out
 }
 
-// TestAlertsAreEvents compares the operators' page of alerts with the catalogue
-// of events: each number has its name, and no event of a warning is left out.
-func TestAlertsAreEvents(t *testing.T) {
+// TestAlertsPageMatchesEvents fails when the operators' page alerts.md has a wrong
+// number or name of an event, or omits an event of level warning or above.
+func TestAlertsPageMatchesEvents(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/operators/alerts.md")
 	is.NoErr(err)
@@ -66,5 +66,5 @@
 		is.True(!listed || name == e.Name)          // e.Name
 		delete(names, strconv.Itoa(e.Number))
 	}
-	is.Equal(len(names), 0) // numbers that are no events
+	is.Equal(len(names), 0) // numbers that no event has
 }
--- a/internal/cli/ctl/wait.go
+++ b/internal/cli/ctl/wait.go
@@ -11,45 +11,48 @@
 	"sassafrasreach/internal/wait"
 )
 
-// pollPause is the wait between two looks at the entries' versions.
-const pollPause = 200 * time.Millisecond
+// pollInterval is the wait between two requests for the status.
+const pollInterval = 200 * time.Millisecond
 
-// behind is an entry where a version isn't in force.
-type behind struct {
-	// Entry names the entry.
+// entryBehind is an entry VM where a version isn't yet in force.
+type entryBehind struct {
+	// Entry is the name of the entry VM.
 	Entry string `json:"entry"`
-	// Version is the version in force there; 0 when none is known.
+	// Version is the version in force there, as last reported; 0 when none is
+	// known.
 	Version uint64 `json:"version"`
-	// Age is the time since a control VM heard of it, in nanoseconds.
+	// Age is the time since its last report to a control VM, in nanoseconds.
 	Age time.Duration `json:"age_ns"`
-	// Heard says whether a control VM ever heard of it.
-	Heard bool `json:"heard"`
+	// Reported is true when a control VM has received a report of it.
+	Reported bool `json:"heard"`
 }
 
-// String returns the entry in words.
-func (b behind) String() string {
-	if !b.Heard {
-		return b.Entry + " (never heard of)"
+// String returns the entry as the text output shows it.
+func (b entryBehind) String() string {
+	if !b.Reported {
+		return b.Entry + " (no report received)"
 	}
-	return fmt.Sprintf("%s (version %d, heard of %v ago)", b.Entry, b.Version, b.Age.Round(time.Millisecond))
+	return fmt.Sprintf("%s (version %d, last report %v ago)", b.Entry, b.Version, b.Age.Round(time.Millisecond))
 }
 
-// waitInForce waits until every entry has the version and returns those that
-// don't when the time is up.
-func (r *runner) waitInForce(ctx context.Context, version uint64, entries []string) []behind {
+// waitInForce polls until the version is in force at every entry or ctx ends. It
+// returns the entries where it isn't in force.
+func (r *runner) waitInForce(ctx context.Context, version uint64, entries []string) []entryBehind {
 	known := make(map[string]port.EntryStatus)
 	for {
-		missing := r.look(ctx, version, entries, known)
-		if len(missing) == 0 || !wait.For(ctx, pollPause) {
+		missing := r.pollStatus(ctx, version, entries, known)
+		if len(missing) == 0 || !wait.For(ctx, pollInterval) {
 			return missing
 		}
 	}
 }
 
-// look asks the control VMs one after the other until their answers together
-// show the version at every entry. What was known stays known when no VM
-// answers any more.
-func (r *runner) look(ctx context.Context, version uint64, entries []string, known map[string]port.EntryStatus) []behind {
+// pollStatus requests the status of the control VMs one after the other until
+// their responses together show the version at every entry. It keeps the newest
+// version of each entry in known, so that a control VM that stops responding or
+// reports an older version takes nothing back. It returns the entries where the
+// version isn't in force.
+func (r *runner) pollStatus(ctx context.Context, version uint64, entries []string, known map[string]port.EntryStatus) []entryBehind {
 	for _, member := range r.client.members {
 		got, err := r.client.try(ctx, member, request{method: http.MethodGet, path: "/v1/status"})
 		if err != nil || got.problem != nil {
@@ -64,19 +67,20 @@
 				known[e.Name] = e
 			}
 		}
-		if len(notAt(version, entries, known)) == 0 {
+		if len(entriesBehind(version, entries, known)) == 0 {
 			return nil
 		}
 	}
-	return notAt(version, entries, known)
+	return entriesBehind(version, entries, known)
 }
 
-func notAt(version uint64, entries []string, known map[string]port.EntryStatus) []behind {
-	var out []behind
+// entriesBehind returns the entries whose known version is below version.
+func entriesBehind(version uint64, entries []string, known map[string]port.EntryStatus) []entryBehind {
+	var out []entryBehind
 	for _, name := range entries {
-		e, heard := known[name]
+		e, reported := known[name]
 		if e.Version < version {
-			out = append(out, behind{Entry: name, Version: e.Version, Age: e.Age, Heard: heard})
+			out = append(out, entryBehind{Entry: name, Version: e.Version, Age: e.Age, Reported: reported})
 		}
 	}
 	return out
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -27,23 +27,23 @@
 )
 
 const (
-	// callerIdleTimeout closes callers' connections that carry nothing, before
-	// something on the way loses track of them.
+	// callerIdleTimeout is the time after which idle connections of callers are
+	// closed, before a device on the path drops its state for them.
 	callerIdleTimeout = 30 * time.Second
-	// callerHeaderTimeout bounds the time to read a request's head.
+	// callerHeaderTimeout is the maximum time to read the header of a request.
 	callerHeaderTimeout = 5 * time.Second
-	// callerReadTimeout bounds the time to read a whole request.
+	// callerReadTimeout is the maximum time to read a whole request.
 	callerReadTimeout = 30 * time.Second
-	// sweepPeriod is the time between the closings of idle endpoint connections.
+	// sweepPeriod is the time between two sweeps that close idle connections.
 	sweepPeriod = time.Second
 )
 
-// runEntry runs an entry VM until a planned stop has ended.
+// runEntry runs an entry VM until its planned stop is complete.
 func runEntry(ctx context.Context, args []string, _, stderr io.Writer) int {
 	return withSettings("entry", args, stderr, settings.LoadEntry, func(path string, config settings.Entry) int {
 		logger := newLogger(stderr, config.LogLevel, "entry", config.Name)
 		err := serveEntry(ctx, config, logger)
-		if errors.Is(err, errMisplaced) {
+		if errors.Is(err, errUnknownPlace) {
 			return fail(stderr, exitUsage, settings.UnknownPlace(path, config.Place))
 		}
 		if err != nil {
@@ -53,10 +53,11 @@
 	})
 }
 
-// errMisplaced means that the first document doesn't have the entry's place.
-var errMisplaced = errors.New("the document doesn't have the entry's place")
+// errUnknownPlace means that the first document that the entry VM received doesn't
+// define the place in the entry VM's settings.
+var errUnknownPlace = errors.New("the document doesn't define the place in the entry VM's settings")
 
-// entryProcess is a running entry with its listeners.
+// entryProcess is the process of an entry VM: the entry and its servers.
 type entryProcess struct {
 	entry     *entry.Entry
 	callers   *http.Server
@@ -83,7 +84,7 @@
 	case err := <-p.failed:
 		return err
 	case <-p.entry.Misplaced():
-		return errMisplaced
+		return errUnknownPlace
 	case <-ctx.Done():
 	case <-signals:
 	}
@@ -137,8 +138,8 @@
 	return p
 }
 
-// localIP returns the address that this VM is known by: the one where it
-// listens for peers. It is nil when that is every address.
+// localIP returns the IP address of the listener for peers, by which other VMs know
+// this VM. It is nil when the VM listens on all addresses.
 func localIP(address string) net.IP {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil || ap.Addr().IsUnspecified() {
@@ -147,7 +148,8 @@
 	return ap.Addr().AsSlice()
 }
 
-// listen opens both listeners and serves on them.
+// listen opens the listeners for peers, callers and, if configured, metrics, and
+// serves on them.
 func (p *entryProcess) listen(ctx context.Context, config settings.Entry) error {
 	peers, err := listenFor(ctx, "peers", config.PeerListen)
 	if err != nil {
@@ -170,8 +172,8 @@
 	return nil
 }
 
-// listenMetrics opens the listener for metrics and health, if there is to be
-// one of its own.
+// listenMetrics opens the separate listener for metrics and health, unless the
+// address is empty.
 func (p *entryProcess) listenMetrics(ctx context.Context, address string) error {
 	if address == "" {
 		return nil
@@ -185,7 +187,8 @@
 	return nil
 }
 
-// report passes on why a listener ended, but for a planned stop.
+// report logs the error that ended a server and sends it to failed, unless the
+// server was stopped as planned.
 func (p *entryProcess) report(err error) {
 	if err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, grpc.ErrServerStopped) {
 		return
@@ -194,10 +197,10 @@
 	p.failed <- err
 }
 
-// stop drains the entry and closes its listeners. A second signal or the limit
-// cuts the drain short.
+// stop drains the entry and closes its listeners. A second signal or the limit ends
+// the drain early.
 func (p *entryProcess) stop(ctx context.Context, signals <-chan os.Signal, limit time.Duration) {
-	begun := time.Now()
+	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 	defer cancel()
 	go func() {
@@ -219,14 +222,15 @@
 	_ = p.metrics.Close()
 	p.peers.Stop()
 	event.Log(ctx, p.logger, event.Stopped,
-		slog.Duration("drain_time", time.Since(begun)), slog.Int64("cut_off", cut))
+		slog.Duration("drain_time", time.Since(start)), slog.Int64("cut_off", cut))
 }
 
-// peerStopLimit bounds the wait for peers' calls once no request is in flight;
-// connections that went silent would hold it up.
+// peerStopLimit is the maximum wait for the calls of peers to end once no request is
+// in flight; unresponsive connections would delay the stop.
 const peerStopLimit = time.Second
 
-// stopGracefully waits for the calls of peers, at most for peerStopLimit.
+// stopGracefully stops the server once the calls of peers have ended, and waits for
+// that for at most peerStopLimit.
 func stopGracefully(ctx context.Context, server *grpc.Server) {
 	ctx, cancel := context.WithTimeout(ctx, peerStopLimit)
 	defer cancel()
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -28,25 +28,26 @@
 )
 
 const (
-	// clientIdleTimeout is how long a client's connection may carry nothing; longer
-	// than what configurations allow clients, which then close first.
+	// clientIdleTimeout is the time after which idle connections of clients are
+	// closed. It is longer than the idle timeouts in configurations, which therefore
+	// take effect first.
 	clientIdleTimeout = 2 * time.Minute
-	// clientHeaderTimeout bounds the time to read a request's head.
+	// clientHeaderTimeout is the maximum time to read the header of a request.
 	clientHeaderTimeout = 10 * time.Second
-	// clientHeaderBytes bounds a request's head before the configuration's own
-	// limit is applied.
+	// clientHeaderBytes is the maximum size of a request's header; the
+	// configuration's own limit is checked after it.
 	clientHeaderBytes = 256 << 10
-	// endpointIdleTimeout is how long after its last answer a connection to an
-	// endpoint may carry an idempotent request: endpoints close theirs after some
-	// seconds more.
+	// endpointIdleTimeout is how long after its last response a connection to an
+	// endpoint may be used for an idempotent request. Endpoints close idle
+	// connections some seconds later.
 	endpointIdleTimeout = 4 * time.Second
-	// settingsPeriod is the time between two looks at the settings file.
+	// settingsPeriod is the time between two reloads of the settings file.
 	settingsPeriod = 2 * time.Second
 	// droppedPeriod is the time between two reports of dropped log records.
 	droppedPeriod = 5 * time.Second
 )
 
-// vmProcess is what the processes of the fleet have in common.
+// vmProcess holds what the processes of controllers and gateways have in common.
 type vmProcess struct {
 	path     string
 	settings platform.Settings
@@ -54,21 +55,22 @@
 	logger   *slog.Logger
 	clock    port.Clock
 	meter    *metrics.Meter
-	// fleetListen is where a controller listens for the fleet, if that isn't the
-	// address that others are told.
+	// fleetListen is the IP:port at which a controller listens for gateways and
+	// controllers, if it differs from the address that it announces; else empty.
 	fleetListen string
-	// metricsPort is where metrics are served; 0 means nowhere.
+	// metricsPort is the port at which metrics are served; 0 disables them.
 	metricsPort int
 	failed      chan error
 }
 
-// withVM reads the arguments and settings of a process of the fleet and runs it.
+// withVM parses the arguments, loads the settings of a controller or gateway and
+// calls run. It returns the exit code.
 func withVM(name string, args []string, stdout, stderr io.Writer, run func(ctx context.Context, p *vmProcess) error) int {
 	flags := newFlags(name, "[-settings FILE]", stderr)
-	path := flags.String("settings", platform.SettingsPath(), "the platform's settings file of this process")
-	fleetListen := flags.String("fleet-listen", "", "the address (IP:port) to listen at for other VMs, if they reach it at another")
-	metricsPort := flags.Int("metrics", 0, "the port to serve metrics at, under /metrics; 0 for none")
-	check := flags.Bool("check", false, "only check the settings")
+	path := flags.String("settings", platform.SettingsPath(), "settings file that the platform wrote for this process")
+	fleetListen := flags.String("fleet-listen", "", "IP:port to listen on for other VMs, if it differs from the address that they connect to")
+	metricsPort := flags.Int("metrics", 0, "port to serve metrics on, at the path /metrics; 0 disables it")
+	check := flags.Bool("check", false, "check the settings and exit")
 	if code, done := parse(flags, args); done {
 		return code
 	}
@@ -104,7 +106,8 @@
 	}
 }
 
-// reload keeps the seeds as the settings file has them, until ctx ends.
+// reload updates the seeds from the settings file every settingsPeriod and on
+// SIGHUP, until ctx ends.
 func (p *vmProcess) reload(ctx context.Context, setSeeds func([]string)) {
 	hups := make(chan os.Signal, 1)
 	signal.Notify(hups, syscall.SIGHUP)
@@ -118,11 +121,13 @@
 		case <-hups:
 		case <-ticker.C:
 		}
-		p.readAgain(ctx, setSeeds)
+		p.reloadOnce(ctx, setSeeds)
 	}
 }
 
-func (p *vmProcess) readAgain(ctx context.Context, setSeeds func([]string)) {
+// reloadOnce loads the settings file and sets its seeds if they have changed. When
+// the file can't be loaded, it logs that and keeps the old settings.
+func (p *vmProcess) reloadOnce(ctx context.Context, setSeeds func([]string)) {
 	fresh, err := platform.LoadSettings(p.path)
 	if err != nil {
 		event.Log(ctx, p.logger, event.SettingsFailed, slog.Any("error", err))
@@ -136,8 +141,8 @@
 	event.Log(ctx, p.logger, event.SettingsLoaded, slog.Any("seeds", fresh.Seeds))
 }
 
-// serve serves HTTP at an address. The hook is told of its connections' states; it
-// may be nil.
+// serve serves HTTP at an address. The hook is called when the state of a
+// connection changes; it may be nil.
 func (p *vmProcess) serve(
 	ctx context.Context, clients, address string, h http.Handler, hook func(net.Conn, http.ConnState),
 ) (*http.Server, error) {
@@ -155,8 +160,9 @@
 	return server, nil
 }
 
-// serveMetrics serves the process's metrics, if there is a port for them. It does
-// without when the port is taken: requests matter more.
+// serveMetrics serves the process's metrics, if a port is set. If it can't listen on
+// the port, it logs that, and the process runs without metrics: serving requests
+// has priority.
 func (p *vmProcess) serveMetrics(ctx context.Context, gauges func() map[string]int64) {
 	if p.metricsPort == 0 {
 		return
@@ -169,7 +175,7 @@
 	}
 }
 
-// awaitStop waits for a signal to stop or a failed listener.
+// awaitStop waits for SIGTERM or SIGINT, or returns the error of a failed server.
 func (p *vmProcess) awaitStop() error {
 	stops := make(chan os.Signal, 1)
 	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
@@ -182,12 +188,13 @@
 	}
 }
 
-// dial returns the way to a controller.
+// dial returns a client of the controller at an address.
 func (p *vmProcess) dial(address string) (*fleetgrpc.Client, error) {
 	return fleetgrpc.NewClient(address, p.settings.IP, p.clock)
 }
 
-// newGateway returns a gateway with the platform's endpoints.
+// newGateway returns a gateway and the caller that sends its requests to the
+// platform's endpoints.
 func newGateway(p *vmProcess) (*gateway.Gateway, *endpointhttp.Caller) {
 	endpoints := endpointhttp.New(endpointhttp.Options{
 		Clock: p.clock, Dialect: platform.Dialect(), IdleTimeout: endpointIdleTimeout,
@@ -202,8 +209,8 @@
 	return g, endpoints
 }
 
-// newControllerOf returns a controller with the platform's settings.
-func newControllerOf(p *vmProcess, store port.VoterStore) (*controller.Controller, error) {
+// newController returns a controller with the platform's settings.
+func newController(p *vmProcess, store port.VoterStore) (*controller.Controller, error) {
 	return controller.New(controller.Config{
 		Name: p.settings.Name, Address: p.settings.FleetAddress, Zone: p.settings.Zone, Region: p.settings.Region,
 		Zones: p.settings.Zones, Seeds: p.settings.Seeds, Founding: p.settings.Founding, Retries: p.settings.Retries, MaxShift: p.settings.MaxShift,
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -15,16 +15,18 @@
 )
 
 const (
-	// lookupAge is how long after a stop began clients may still come with an old
-	// answer of the directory: most ask again after two seconds.
-	lookupAge = 3 * time.Second
-	// stopMargin is kept back from the time until the process is ended by force.
+	// staleLookupPeriod is how long after the begin of a stop clients may still
+	// arrive because of a cached answer of the directory. Most clients repeat the
+	// look-up after two seconds.
+	staleLookupPeriod = 3 * time.Second
+	// stopMargin is subtracted from the time after which the platform kills the
+	// process, so that a stop ends before that.
 	stopMargin = 300 * time.Millisecond
-	// drainPoll is the time between two looks at the requests in flight.
-	drainPoll = 20 * time.Millisecond
+	// drainPollInterval is the time between two checks for requests in flight.
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// runGateway runs a gateway until a planned stop has ended.
+// runGateway runs a gateway until its planned stop is complete.
 func runGateway(_ context.Context, args []string, stdout, stderr io.Writer) int {
 	return withVM("gateway", args, stdout, stderr, serveGateway)
 }
@@ -54,15 +56,16 @@
 	return nil
 }
 
-// stopGateway serves on while clients may still come, and then ends when the
-// last request has.
+// stopGateway keeps serving while clients may still arrive, then waits until no
+// request is in flight. It cuts off requests that outlast the settings' StopWithin
+// less stopMargin.
 func stopGateway(ctx context.Context, p *vmProcess, g *gateway.Gateway, clients *http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, p.settings.StopWithin-stopMargin)
 	defer cancel()
 	began := p.clock.Now()
 	g.Stop()
-	for ctx.Err() == nil && (p.clock.Now().Sub(began) < lookupAge || g.InFlight() > 0) {
-		wait.For(ctx, drainPoll)
+	for ctx.Err() == nil && (p.clock.Now().Sub(began) < staleLookupPeriod || g.InFlight() > 0) {
+		wait.For(ctx, drainPollInterval)
 	}
 	if err := clients.Shutdown(ctx); err != nil {
 		event.Log(ctx, p.logger, event.StopForced, slog.Int64("in_flight", g.InFlight()))
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -5,7 +5,8 @@
 	"log/slog"
 )
 
-// newLogger returns a logger that writes JSON lines for a named process.
+// newLogger returns a logger that writes JSON lines with the role and name of the
+// process. An unknown level means info.
 func newLogger(w io.Writer, level, role, name string) *slog.Logger {
 	var threshold slog.Level
 	if err := threshold.UnmarshalText([]byte(level)); err != nil {
--- a/internal/cli/send.go
+++ b/internal/cli/send.go
@@ -13,11 +13,11 @@
 	"sassafrasreach/internal/port"
 )
 
-// secondTryPart is the part of a safe request's time, as a divisor, after which
-// it is sent again over a new connection.
-const secondTryPart = 2
+// resendDivisor divides the timeout of a safe request; after that part of it, the
+// request is sent again over a new connection.
+const resendDivisor = 2
 
-// reply is what came back of one try.
+// reply is the response to one attempt, or its error.
 type reply struct {
 	status int
 	header http.Header
@@ -25,24 +25,24 @@
 	err    error
 }
 
-// send sends the request. A safe one (RFC 9110, section 9.2.1) that isn't
-// answered in half its time goes out again over a new connection, since the
-// first may have gone silent; the first whole answer counts.
+// send sends the request. A safe one (RFC 9110, section 9.2.1) that has no response
+// after half its timeout is sent again over a new connection, since the first
+// connection may be unresponsive. The first complete response is returned.
 func send(ctx context.Context, o callOptions, entry port.LookupEntry, place string) reply {
 	replies := make(chan reply, 2)
-	try := func(client *http.Client) { replies <- sendOnce(ctx, client, o, entry, place) }
-	go try(http.DefaultClient)
+	attempt := func(client *http.Client) { replies <- sendOnce(ctx, client, o, entry, place) }
+	go attempt(http.DefaultClient)
 	if !safe(o) {
 		return <-replies
 	}
-	late := time.NewTimer(o.timeout / secondTryPart)
-	defer late.Stop()
+	resendTimer := time.NewTimer(o.timeout / resendDivisor)
+	defer resendTimer.Stop()
 	select {
 	case r := <-replies:
 		return r
-	case <-late.C:
+	case <-resendTimer.C:
 	}
-	go try(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
+	go attempt(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
 	r := <-replies
 	if r.err != nil {
 		r = <-replies
@@ -50,12 +50,12 @@
 	return r
 }
 
-// safe says whether the request may be sent twice.
+// safe reports whether the request may be sent twice.
 func safe(o callOptions) bool {
 	return o.key == "" && (o.method == http.MethodGet || o.method == http.MethodHead)
 }
 
-// sendOnce makes one try and reads its answer whole.
+// sendOnce sends the request once and reads the whole response.
 func sendOnce(ctx context.Context, client *http.Client, o callOptions, entry port.LookupEntry, place string) reply {
 	target := "http://" + entry.Address + "/s/" + o.service + o.target
 	request, err := http.NewRequestWithContext(ctx, o.method, target, bytes.NewReader([]byte(o.body)))
@@ -78,7 +78,7 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return reply{err: fmt.Errorf("truncated answer: %w", err)}
+		return reply{err: fmt.Errorf("the response was truncated: %w", err)}
 	}
 	return reply{status: response.StatusCode, header: response.Header, body: body}
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -16,19 +16,19 @@
 	flags := newFlags("standin", "-id ID -service S -place P -listen IP:PORT -entry IP:PORT[,...]", stderr)
 	var config standin.Config
 	var entries string
-	flags.StringVar(&config.ID, "id", "", "identifier of the endpoint")
+	flags.StringVar(&config.ID, "id", "", "ID of the endpoint")
 	flags.StringVar(&config.Service, "service", "", "service that it serves")
 	flags.StringVar(&config.Place, "place", "", "place that it is in")
-	flags.StringVar(&config.Listen, "listen", "", "IP:port to serve on")
-	flags.StringVar(&entries, "entry", "", "IP:ports of entries to announce to, comma-separated")
-	flags.IntVar(&config.Slots, "slots", 3, "requests that it runs at once")
-	flags.IntVar(&config.Connections, "connections", 650, "connections that it accepts")
-	flags.DurationVar(&config.Work, "work", 5*time.Millisecond, "time that a request takes")
-	flags.DurationVar(&config.Cold, "cold", 0, "additional time of the first requests")
-	flags.DurationVar(&config.Warmup, "warmup", 0, "time in which the additional time shrinks to nothing")
-	flags.DurationVar(&config.LeaveFor, "leave-for", 2*time.Second, "time that it announces leaving before it ends")
-	flags.StringVar(&config.CrashOn, "crash-on", "", "body of requests that end the process, for trials of quarantine")
-	flags.StringVar(&config.RunLog, "run-log", "", "file that gets one line for each run")
+	flags.StringVar(&config.Listen, "listen", "", "IP:port to listen on")
+	flags.StringVar(&entries, "entry", "", "IP:ports of the entry VMs to announce itself to, comma-separated")
+	flags.IntVar(&config.Slots, "slots", 3, "maximum number of requests that run at the same time")
+	flags.IntVar(&config.Connections, "connections", 650, "maximum number of connections")
+	flags.DurationVar(&config.Work, "work", 5*time.Millisecond, "processing time of a request")
+	flags.DurationVar(&config.Cold, "cold", 0, "additional processing time of the first requests")
+	flags.DurationVar(&config.Warmup, "warmup", 0, "time in which the additional processing time decreases to zero")
+	flags.DurationVar(&config.LeaveFor, "leave-for", 2*time.Second, "time between announcing that it leaves and its exit")
+	flags.StringVar(&config.CrashOn, "crash-on", "", "body of requests that crash the process, to test quarantine")
+	flags.StringVar(&config.RunLog, "run-log", "", "file to append a line to for each request that runs")
 	if code, done := parse(flags, args); done {
 		return code
 	}
