--- a/internal/cli/ctl/wait.go
+++ b/internal/cli/ctl/wait.go
@@ -49,9 +49,9 @@
 
 // pollStatus requests the status of the control VMs one after the other until
 // their responses together show the version at every entry. It keeps the newest
-// version of each entry in known, so that a control VM that stops responding or
-// reports an older version takes nothing back. It returns the entries where the
-// version isn't in force.
+// version of each entry in known, also when a control VM stops responding or
+// reports an older version. It returns the entries where the version isn't in
+// force.
 func (r *runner) pollStatus(ctx context.Context, version uint64, entries []string, known map[string]port.EntryStatus) []entryBehind {
 	for _, member := range r.client.members {
 		got, err := r.client.try(ctx, member, request{method: http.MethodGet, path: "/v1/status"})
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// staleLookupPeriod is how long after the begin of a stop clients may still
-	// arrive because of a cached answer of the directory. Most clients repeat the
+	// staleLookupPeriod is how long after a stop begins clients may still arrive
+	// because of a cached answer of the directory. Most clients repeat the
 	// look-up after two seconds.
 	staleLookupPeriod = 3 * time.Second
 	// stopMargin is subtracted from the time after which the platform kills the
