--- a/internal/adapter/console/console_test.go
+++ b/internal/adapter/console/console_test.go
@@ -259,9 +259,9 @@
 	is.True(b.form.Get("change_id") != first)
 }
 
-// TestNothingWithoutSession guards against a change by a form that is valid
-// but has no session, a wrong form token, another site's origin, a removed
-// operator, a missing field or an unknown action, or is sent without a quorum.
+// TestNothingWithoutSession guards against a change by a form that is sent
+// without a session or a quorum, by a removed operator, from another site, with a
+// wrong form token, without a required field, or with an unknown action.
 func TestNothingWithoutSession(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/internal/adapter/operatorhttp/doc.go
+++ b/internal/adapter/operatorhttp/doc.go
@@ -8,6 +8,8 @@
 // the newest version in the register.
 //
 // Errors are problem documents (RFC 9457) whose code is one of the Code
-// constants. Requests for the document, the audit trail, drains and quarantine
-// need the bearer token (RFC 6750) of an operator in the document in force.
+// constants. Health, readiness and status need no token, and the console has
+// sessions of its own. All other requests need the bearer token (RFC 6750) of an
+// operator in the document in force or, while there is no document, the bootstrap
+// token.
 package operatorhttp
--- a/internal/adapter/operatorhttp/drain.go
+++ b/internal/adapter/operatorhttp/drain.go
@@ -81,7 +81,8 @@
 	h.submit(w, r, port.Change{ID: id, Operator: s.operator, BaseVersion: s.config.Version, Document: text})
 }
 
-// firstOutcome returns the outcome that the audit trail has for a change ID.
+// firstOutcome returns the outcome of the first change of the document that the
+// audit trail has for a change ID. It ignores quarantine lifts.
 func (h *handler) firstOutcome(r *http.Request, id string) (port.Outcome, bool, error) {
 	records, err := h.Store.Audit(r.Context())
 	if err != nil {
--- a/internal/adapter/operatorhttp/handler.go
+++ b/internal/adapter/operatorhttp/handler.go
@@ -30,8 +30,9 @@
 	Logger *slog.Logger
 	// Timeout bounds the work on one request; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// RecordRefused adds a change with faults to the audit trail, since such a
-	// change isn't passed to Store.Submit; nil means that it is only logged.
+	// RecordRefused adds a change with faults to the audit trail, since the
+	// handler doesn't pass such a change to Store.Submit; nil means that it is only
+	// logged.
 	RecordRefused func(ctx context.Context, change port.Change) error
 }
 
--- a/internal/adapter/operatorhttp/problem.go
+++ b/internal/adapter/operatorhttp/problem.go
@@ -24,8 +24,8 @@
 	CodeTooLarge Code = "body-too-large"
 	// CodeInvalid is a document with faults; nothing was changed.
 	CodeInvalid Code = "invalid"
-	// CodeConflict means that another change became the next version, or that
-	// the place is already drained; this change wasn't applied.
+	// CodeConflict means that the change's base isn't the version in the register,
+	// or that the place is already drained; this change wasn't applied.
 	CodeConflict Code = "conflict"
 	// CodeIDReused means that the change ID was already used for another change.
 	CodeIDReused Code = "change-id-reused"
@@ -94,8 +94,8 @@
 	writeBody(w, http.StatusOK, body)
 }
 
-// writeBody sends the body as JSON. It ignores write errors: the client has
-// closed the connection.
+// writeBody sends the body as JSON. It ignores write errors, which mean that the
+// client has closed the connection.
 func writeBody(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
--- a/internal/cli/ctl/client.go
+++ b/internal/cli/ctl/client.go
@@ -22,8 +22,9 @@
 	// tryTimeout is the timeout of one request to one control VM, so that an
 	// unresponsive VM doesn't use up the time of the whole command.
 	tryTimeout = 5 * time.Second
-	// maxRounds is how often a change that may have been accepted is sent to all
-	// control VMs. A change that none of them proposed is sent to each once.
+	// maxRounds is the number of rounds in which a change that may have been
+	// accepted is sent to the control VMs. A change that none of them proposed is
+	// sent to each once.
 	maxRounds = 3
 	// roundInterval is the wait between two rounds.
 	roundInterval = 300 * time.Millisecond
--- a/internal/cli/ctl/ctl_test.go
+++ b/internal/cli/ctl/ctl_test.go
@@ -195,7 +195,7 @@
 
 // TestRefusalAfterLostAnswer guards against reporting an accepted change as
 // refused: one control VM accepts it but its response is lost, and another one
-// refuses the resend without an outcome, here because it doesn't know the token.
+// refuses the resend without an outcome, here because the token isn't valid there.
 func TestRefusalAfterLostAnswer(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
--- a/internal/cli/ctl/exit.go
+++ b/internal/cli/ctl/exit.go
@@ -60,8 +60,8 @@
 	return &exitError{code: code, err: fmt.Errorf(format, args...)}
 }
 
-// unreadableReply returns the error of a response that doesn't parse, as when
-// -control names a server that isn't a control VM's.
+// unreadableReply returns the error for a response that can't be parsed, for
+// example because a URL in -control isn't that of a control VM.
 func unreadableReply(err error) error {
 	return failf(ExitUnknown, "the response can't be parsed; -control must have the URLs of the control VMs' operator_listen: %w", err)
 }
--- a/internal/cli/ctl/main.go
+++ b/internal/cli/ctl/main.go
@@ -121,7 +121,7 @@
 	flags.DurationVar(&f.timeout, "timeout", DefaultTimeout, "maximum `time` of the whole command")
 	flags.StringVar(&f.base, "base", "", "apply: `version` that the file was made from; by default the one in its first line, which get writes; without that line, 0")
 	flags.StringVar(&f.changeID, "change-id", "", "apply, drain, undrain, lift: `ID` of a change to resend; by default a new ID")
-	flags.StringVar(&f.service, "service", "", "drain, undrain: `service` to drain; by default all services")
+	flags.StringVar(&f.service, "service", "", "drain, undrain: `service` of the drain; by default the drain is of all services")
 	flags.StringVar(&f.reason, "reason", "", "drain: `text` shown to other operators; required")
 	flags.BoolVar(&f.wait, "wait", true, "apply, drain, undrain: wait until the change is in force at every entry")
 	flags.Usage = func() { r.usage(flags) }
--- a/internal/cli/ctl/wait.go
+++ b/internal/cli/ctl/wait.go
@@ -21,9 +21,10 @@
 	// Version is the version in force there, as last reported; 0 when none is
 	// known.
 	Version uint64 `json:"version"`
-	// Age is the time since its last report to a control VM, in nanoseconds.
+	// Age is the time since a control VM last received a report about the entry
+	// VM, from itself or from another one of its place, in nanoseconds.
 	Age time.Duration `json:"age_ns"`
-	// Reported is true when a control VM has received a report of it.
+	// Reported is true when a control VM has a report about the entry VM.
 	Reported bool `json:"heard"`
 }
 
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -29,8 +29,8 @@
 
 const (
 	// clientIdleTimeout is the time after which idle connections of clients are
-	// closed. It is longer than the idle timeouts in configurations, which therefore
-	// take effect first.
+	// closed. It is long, so that the idle timeout in the configuration takes effect
+	// first.
 	clientIdleTimeout = 2 * time.Minute
 	// clientHeaderTimeout is the maximum time to read the header of a request.
 	clientHeaderTimeout = 10 * time.Second
@@ -193,8 +193,8 @@
 	return fleetgrpc.NewClient(address, p.settings.IP, p.clock)
 }
 
-// newGateway returns a gateway and the caller that sends its requests to the
-// platform's endpoints.
+// newGateway returns a gateway and the HTTP client with which it sends requests to
+// the platform's endpoints.
 func newGateway(p *vmProcess) (*gateway.Gateway, *endpointhttp.Caller) {
 	endpoints := endpointhttp.New(endpointhttp.Options{
 		Clock: p.clock, Dialect: platform.Dialect(), IdleTimeout: endpointIdleTimeout,
--- a/internal/cli/send.go
+++ b/internal/cli/send.go
@@ -13,8 +13,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// resendDivisor divides the timeout of a safe request; after that part of it, the
-// request is sent again over a new connection.
+// resendDivisor sets when a safe request without a response is sent again over a
+// new connection: after its timeout divided by resendDivisor.
 const resendDivisor = 2
 
 // reply is the response to one attempt, or its error.
