--- a/internal/app/control/cluster_test.go
+++ b/internal/app/control/cluster_test.go
@@ -22,7 +22,7 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// kind names a message of the register.
+// kind is the type of a message between members.
 type kind string
 
 const (
@@ -35,22 +35,23 @@
 	other   kind = "other"
 )
 
-// event is a message that is about to arrive.
+// event is a message that is about to be delivered.
 type event struct {
 	kind     kind
 	from, to int
-	// answer says that it is the answer, on its way from to back to from.
+	// answer says that the message is the answer, which travels from the member
+	// to back to the member from.
 	answer bool
-	// value says that it carries a value.
+	// value says that the message carries a value of the register.
 	value bool
 }
 
-// cluster runs members in one process, with faults on the network between
-// them. It lives in a synctest bubble.
+// cluster runs members in one process and injects faults into the network between
+// them. It must be used in a synctest bubble.
 type cluster struct {
 	t     *testing.T
 	peers []control.Peer
-	// files replaces a member's file system.
+	// files overrides the file system of members.
 	files map[int]disk.FS
 
 	// mu guards the fields below.
@@ -63,7 +64,8 @@
 	latency time.Duration
 	starts  uint64
 	all     []*running
-	// restarting is held from a crash to the restart, before mu.
+	// restarting is locked from a crash to the restart. Lock order: restarting,
+	// mu.
 	restarting sync.Mutex
 }
 
@@ -77,7 +79,7 @@
 	dead bool
 }
 
-// unsyncedFS is the operating system's file system without waiting for it.
+// unsyncedFS is the operating system's file system without syncs, for speed.
 type unsyncedFS struct{ disk.OS }
 
 type unsyncedFile struct{ disk.File }
@@ -89,8 +91,8 @@
 func (unsyncedFS) SyncFolder(string) error { return nil }
 func (unsyncedFile) Sync() error           { return nil }
 
-// processFS is a file system as one start of a member has it: after the crash
-// nothing is written any more, and the lock of the folder is free.
+// processFS is the file system of one start of a member. After crash every write
+// fails and the lock of the folder is released.
 type processFS struct {
 	disk.FS
 	c *cluster
@@ -137,7 +139,7 @@
 	return n, err
 }
 
-// crash waits for the write that is under way.
+// crash waits for the write in progress before it makes further writes fail.
 func (p *processFS) crash() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,8 +205,8 @@
 	c.all = append(c.all, r)
 }
 
-// kill ends a member as a crash would: nothing it sends arrives any more, and
-// nothing it writes.
+// kill simulates a crash of a member: none of its messages are delivered any more
+// and its writes fail. It returns the member's data folder.
 func (c *cluster) kill(i int) (dir string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,7 +216,7 @@
 	return c.members[i].dir
 }
 
-// crash ends all members and restarts them with their folders.
+// crash crashes all members and restarts them with their folders.
 func (c *cluster) crash() {
 	c.restarting.Lock()
 	defer c.restarting.Unlock()
@@ -227,15 +229,15 @@
 	}
 }
 
-// lose restarts a member with an empty folder.
-func (c *cluster) lose(i int) {
+// loseDisk restarts a member with an empty folder.
+func (c *cluster) loseDisk(i int) {
 	c.restarting.Lock()
 	defer c.restarting.Unlock()
 	c.kill(i)
 	c.start(i, c.t.TempDir())
 }
 
-// end stops all members that ever ran.
+// end stops every start of every member, crashed ones included.
 func (c *cluster) end() {
 	c.mu.Lock()
 	all := c.all
@@ -269,7 +271,7 @@
 	c.watch = f
 }
 
-// eventually waits up to a minute of the bubble's time.
+// eventually waits for a condition, up to a minute of the bubble's fake time.
 func (c *cluster) eventually(what string, holds func() bool) {
 	c.t.Helper()
 	for range 1200 {
@@ -278,19 +280,20 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("not within a minute: %s", what)
+	c.t.Fatalf("condition not met within a minute: %s", what)
 }
 
-// link is the way from one start of a member to another member.
+// link is the connection from one start of a member to another member.
 type link struct {
 	c        *cluster
 	owner    *running
 	from, to int
 }
 
-// arrive lets a message pass or not. A frozen sender's message waits and
-// arrives late; to a member that is cut off or frozen nothing arrives.
-func (l *link) arrive(e event) error {
+// deliver waits for the latency of the network and returns an error for a message
+// that is lost. A message of a frozen sender is delayed until it is thawed; a
+// message to a frozen member, or from or to one that is cut off, is lost.
+func (l *link) deliver(e event) error {
 	e.from, e.to = l.from, l.to
 	l.c.mu.Lock()
 	latency := l.c.latency
@@ -321,11 +324,11 @@
 	return table[i]
 }
 
-// call carries a message and its answer. A member that was restarted in
-// between doesn't answer for its earlier start.
+// call delivers a message and its answer. The answer of a member that was
+// restarted in between is lost.
 func call[R any](l *link, k kind, value bool, do func(*control.Node) (R, error), carries func(R) bool) (R, error) {
 	var none R
-	if err := l.arrive(event{kind: k, value: value}); err != nil {
+	if err := l.deliver(event{kind: k, value: value}); err != nil {
 		return none, err
 	}
 	to := l.c.node(l.to)
@@ -333,7 +336,7 @@
 	if err != nil {
 		return none, err
 	}
-	if err := l.arrive(event{kind: k, answer: true, value: carries(r)}); err != nil {
+	if err := l.deliver(event{kind: k, answer: true, value: carries(r)}); err != nil {
 		return none, err
 	}
 	if to != l.c.node(l.to) {
@@ -387,7 +390,8 @@
 	return port.Change{ID: id, Operator: "op-" + id, BaseVersion: base, Document: []byte("document " + id)}
 }
 
-// submit sends a change through members in turn until its outcome is known.
+// submit sends a change to the given members in round-robin order until its
+// outcome is known.
 func (c *cluster) submit(ch port.Change, through ...int) port.Outcome {
 	c.t.Helper()
 	var out port.Outcome
--- a/internal/app/control/config.go
+++ b/internal/app/control/config.go
@@ -16,8 +16,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// ErrConfig means that a Config can't be used.
-var ErrConfig = errors.New("control node can't be configured so")
+// ErrConfig means that a Config is invalid. New wraps it with the reason.
+var ErrConfig = errors.New("invalid configuration of the control node")
 
 // Peer is a member of the group of control VMs.
 type Peer struct {
@@ -27,8 +27,8 @@
 	Address string
 }
 
-// Remote sends messages to another member. An error leaves open what the
-// member did with the message.
+// Remote sends messages to another member. After an error the member may or may
+// not have processed the message.
 type Remote interface {
 	Prepare(context.Context, register.Prepare) (register.Promise, error)
 	Accept(context.Context, register.Accept) (register.Accepted, error)
@@ -41,21 +41,23 @@
 	io.Closer
 }
 
-// Config says how a node is set up.
+// Config holds the settings and dependencies of a node.
 type Config struct {
-	// Name is the node's own name among Peers.
+	// Name is the node's own name; it must be among Peers.
 	Name string
-	// Incarnation must differ at each start of the node.
+	// Incarnation must differ at each start of the node: ballots are unique only
+	// if no two starts of a member share it.
 	Incarnation uint64
-	// Peers are all members, the node itself included: 1, 3 or 5.
+	// Peers lists all 1, 3 or 5 members, including the node itself.
 	Peers []Peer
-	// DataDir is the folder of the node's state.
+	// DataDir is the folder that holds the node's state.
 	DataDir string
-	// Validate returns an error for a document with faults.
+	// Validate returns an error for an invalid document.
 	Validate func([]byte) error
-	// Clock gives the time for ages and audit records.
+	// Clock gives the time for the ages of reports, lifts and quorum reads, and
+	// for audit records.
 	Clock port.Clock
-	// Logger takes the node's events.
+	// Logger receives the node's events.
 	Logger *slog.Logger
 
 	// Dial connects to another member; nil means gRPC.
@@ -64,29 +66,31 @@
 	Files disk.FS
 }
 
-// check returns the members sorted by name and the node's index among them.
+// check validates c and returns the members sorted by name and the node's index
+// among them. The index is the node's register.MemberID on every member.
 func (c Config) check() ([]Peer, register.MemberID, error) {
 	if !slices.Contains([]int{1, 3, register.MaxMembers}, len(c.Peers)) {
-		return nil, 0, fmt.Errorf("%w: %d members", ErrConfig, len(c.Peers))
+		return nil, 0, fmt.Errorf("%w: Peers has %d members; 1, 3 or 5 are allowed", ErrConfig, len(c.Peers))
 	}
 	if c.Validate == nil || c.Clock == nil || c.Logger == nil {
-		return nil, 0, fmt.Errorf("%w: Validate, Clock and Logger are needed", ErrConfig)
+		return nil, 0, fmt.Errorf("%w: Validate, Clock and Logger must all be set", ErrConfig)
 	}
 	peers := slices.Clone(c.Peers)
 	slices.SortFunc(peers, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 	for i := 1; i < len(peers); i++ {
 		if peers[i].Name == peers[i-1].Name {
-			return nil, 0, fmt.Errorf("%w: member %q twice", ErrConfig, peers[i].Name)
+			return nil, 0, fmt.Errorf("%w: Peers lists member %q twice; names must be unique", ErrConfig, peers[i].Name)
 		}
 	}
 	self := slices.IndexFunc(peers, func(p Peer) bool { return p.Name == c.Name })
 	if self < 0 {
-		return nil, 0, fmt.Errorf("%w: %q is not a member", ErrConfig, c.Name)
+		return nil, 0, fmt.Errorf("%w: Name %q is not listed in Peers", ErrConfig, c.Name)
 	}
 	return peers, register.MemberID(self), nil
 }
 
-// groupID identifies a set of members by the FNV-1a hash of their names.
+// groupID returns the FNV-1a hash of the members' names. It identifies the group:
+// a member rejects state on disk that belongs to another group.
 func groupID(sorted []Peer) uint64 {
 	sum := fnv.New64a()
 	for _, p := range sorted {
--- a/internal/app/control/entries.go
+++ b/internal/app/control/entries.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// quorumFresh is how long a quorum read counts as just made.
-	quorumFresh = time.Second
-	// reportRetention is how long a silent entry stays in the table.
+	// quorumReadMaxAge is how long after a quorum read Fetch still reports a quorum.
+	quorumReadMaxAge = time.Second
+	// reportRetention is how long an entry's last report is kept.
 	reportRetention = 10 * time.Minute
-	// liftRetention is how long entries are told of a lifted quarantine.
+	// liftRetention is how long Fetch returns a lifted quarantine.
 	liftRetention = 10 * time.Second
 	// maxReports and maxLifts bound the tables.
 	maxReports = 10000
 	maxLifts   = 1000
 )
 
-// entryTables holds what entries said and what they are to be told.
+// entryTables holds the latest report of each entry and the recently lifted
+// quarantines, which entries receive with their next fetch.
 type entryTables struct {
 	// mu guards both tables.
 	mu      sync.Mutex
@@ -42,8 +43,9 @@
 	at          time.Time
 }
 
-// put takes reports that came at now. A report of an earlier incarnation than
-// the known one is late and dropped.
+// put stores reports that were received at now. A report of an earlier
+// incarnation than the stored one is stale and dropped. So is the report of an
+// entry without a stored one when the table holds maxReports.
 func (t *entryTables) put(now time.Time, reports []registergrpc.EntryReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +61,8 @@
 	}
 }
 
-// all returns the reports with their ages at now, and forgets silent entries.
+// all returns the reports with their ages at now, and deletes those older than
+// reportRetention.
 func (t *entryTables) all(now time.Time) []registergrpc.EntryReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,7 +78,8 @@
 	return out
 }
 
-// addLift takes a fingerprint that was lifted at now.
+// addLift stores a fingerprint whose quarantine was lifted at now. When the table
+// holds maxLifts, the oldest lift is dropped.
 func (t *entryTables) addLift(now time.Time, fingerprint string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,8 +90,9 @@
 	t.lifts = append(t.lifts, lift{fingerprint: fingerprint, at: now})
 }
 
-// liftedAt returns the fingerprints that entries are to forget at now.
-func (t *entryTables) liftedAt(now time.Time) []string {
+// recentLifts returns the fingerprints whose quarantine was lifted within
+// liftRetention before now.
+func (t *entryTables) recentLifts(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dropOldLifts(now)
@@ -98,26 +103,30 @@
 	return out
 }
 
-// dropOldLifts must hold mu.
+// dropOldLifts removes lifts older than liftRetention. The caller must hold mu.
 func (t *entryTables) dropOldLifts(now time.Time) {
 	t.lifts = slices.DeleteFunc(t.lifts, func(l lift) bool { return now.Sub(l.at) > liftRetention })
 }
 
-// Fetch implements registergrpc.Member.
+// Fetch implements registergrpc.Member. It stores the reports and returns the
+// committed document that this member knows, without its text when the caller has
+// that version or a newer one.
 func (n *Node) Fetch(haveVersion uint64, reports []registergrpc.EntryReport) (registergrpc.Fetched, error) {
 	if err := n.failure(); err != nil {
 		return registergrpc.Fetched{}, err
 	}
 	now := n.clock.Now()
 	n.tables.put(now, reports)
-	out := registergrpc.Fetched{Config: n.committed(), Lifted: n.tables.liftedAt(now)}
+	out := registergrpc.Fetched{Config: n.committed(), Lifted: n.tables.recentLifts(now)}
 	if out.Config.Version <= haveVersion {
 		out.Config.Document = nil
 	}
-	out.Quorum = n.readJustNow()
+	out.Quorum = n.hasRecentQuorumRead()
 	return out, nil
 }
 
+// committed returns the newest document that this member knows to be chosen, or
+// the zero Config.
 func (n *Node) committed() port.Config {
 	if v := n.snapshot().CommittedValue; v != nil {
 		return v.Config
@@ -125,17 +134,19 @@
 	return port.Config{}
 }
 
-// readJustNow says whether the member has just read through a quorum.
-func (n *Node) readJustNow() bool {
+// hasRecentQuorumRead says whether the last quorum read began at most
+// quorumReadMaxAge ago.
+func (n *Node) hasRecentQuorumRead() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.quorumRead.IsZero() && n.clock.Now().Sub(n.quorumRead) <= quorumFresh
+	return !n.quorumRead.IsZero() && n.clock.Now().Sub(n.quorumRead) <= quorumReadMaxAge
 }
 
 // Reports implements registergrpc.Member.
 func (n *Node) Reports() []registergrpc.EntryReport { return n.tables.all(n.clock.Now()) }
 
-// Lift implements registergrpc.Member.
+// Lift implements registergrpc.Member. Entries receive the fingerprint with their
+// fetches from this member.
 func (n *Node) Lift(operator, fingerprint string) {
 	event.Log(context.Background(), n.logger, event.QuarantineLift, slog.Any("operator", operator), slog.Any("fingerprint", fingerprint))
 	n.tables.addLift(n.clock.Now(), fingerprint)
--- a/internal/app/control/entries_test.go
+++ b/internal/app/control/entries_test.go
@@ -21,8 +21,10 @@
 	}
 }
 
-// TestEntriesPullAndReport drives what entries and operators see: the document
-// once, reports with ages from any member, and lifted quarantines for a while.
+// TestEntriesPullAndReport checks what entries and operators receive. Entries get
+// the document only when it is newer than theirs, and lifted quarantines for a
+// limited time; operators get the reports of entries with their ages from every
+// member. A lift must not take effect without its audit record.
 func TestEntriesPullAndReport(t *testing.T) {
 	inBubble(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -32,7 +34,7 @@
 		is.NoErr(err)
 		is.True(f.Quorum)
 		is.Equal(string(f.Config.Document), "document a")
-		f, err = c.node(1).Fetch(1, []registergrpc.EntryReport{entryReport("e1", 4, 9)}) // late, of an earlier start
+		f, err = c.node(1).Fetch(1, []registergrpc.EntryReport{entryReport("e1", 4, 9)}) // a stale report of an earlier incarnation
 		is.NoErr(err)
 		is.Equal(f.Config.Version, uint64(1))
 		is.Equal(len(f.Config.Document), 0)
@@ -51,7 +53,7 @@
 		is.True(status.Entries[1].Age >= 10*time.Second)
 
 		lift := port.Lift{ID: "lift", Operator: "ana", Fingerprint: "f"}
-		for range 2 { // a resend makes no second record
+		for range 2 { // a resend adds no second record
 			out, err := c.node(0).LiftQuarantine(context.Background(), lift)
 			is.NoErr(err)
 			is.Equal(out, port.Outcome{ChangeID: "lift", State: port.ChangeLifted, Version: 1, Digest: status.Digest, Operator: "op-a"})
@@ -64,7 +66,7 @@
 		for i, want := range map[int]int{0: 1, 1: 1, 2: 1} {
 			f, err = c.node(i).Fetch(1, nil)
 			is.NoErr(err)
-			is.Equal(len(f.Lifted), 2*want) // both were told
+			is.Equal(len(f.Lifted), 2*want) // both calls sent the lift to every member
 		}
 		time.Sleep(time.Minute)
 		f, err = c.node(2).Fetch(1, nil)
@@ -81,7 +83,8 @@
 	})
 }
 
-// TestMessagesOfAChange counts what a change sends to other members.
+// TestMessagesOfAChange guards against a change that sends more messages, or more
+// copies of the document, to other members than expected.
 func TestMessagesOfAChange(t *testing.T) {
 	for members, want := range map[int]int{3: 12, 5: 24} {
 		inBubble(t, members, func(t *testing.T, c *cluster) {
--- a/internal/app/control/faults_test.go
+++ b/internal/app/control/faults_test.go
@@ -18,7 +18,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// inBubble runs a test of a cluster on a fake clock and ends its members.
+// inBubble runs a test of a cluster in a synctest bubble, with a fake clock, and
+// stops its members afterwards.
 func inBubble(t *testing.T, members int, test func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startAll(t, members)
@@ -27,9 +28,9 @@
 	})
 }
 
-// holds checks that every member reads the given version through a quorum, and
-// that the audit trail has the given number of whole records.
-func (c *cluster) holds(version uint64, records int) {
+// checkVersion checks that every member reads the given version through a quorum,
+// and that the audit trail verifies and has the given number of records.
+func (c *cluster) checkVersion(version uint64, records int) {
 	c.t.Helper()
 	is := is.New(c.t)
 	for i := range c.members {
@@ -47,6 +48,7 @@
 	}
 }
 
+// step is a point in the exchange of messages: the request of a kind or its answer.
 type step struct {
 	kind   kind
 	answer bool
@@ -54,6 +56,7 @@
 
 func (s step) String() string { return fmt.Sprintf("%s, answer %v", s.kind, s.answer) }
 
+// steps returns the request and the answer of each kind, in this order.
 func steps(kinds ...kind) []step {
 	var out []step
 	for _, k := range kinds {
@@ -62,8 +65,8 @@
 	return out
 }
 
-// at runs f once, when the first message of a step between two members arrives;
-// a negative member is any.
+// at runs f once, before the first message of a step between two members is
+// delivered. A negative number stands for any member.
 func (c *cluster) at(s step, from, to int, f func()) {
 	var once sync.Once
 	c.onEvent(func(e event) {
@@ -73,52 +76,55 @@
 	})
 }
 
-// TestDiskLostAtEachMessage loses a member's disk at each message of a change,
-// then, right after its repair, the disks of the others one by one.
+// TestDiskLostAtEachMessage guards against an accepted change that is lost with a
+// disk. A member loses its disk at each message of the change; after its repair
+// every member loses its disk in turn.
 func TestDiskLostAtEachMessage(t *testing.T) {
 	for _, s := range steps(prepare, accept, learn, query) {
 		t.Run(s.String(), func(t *testing.T) {
 			inBubble(t, 3, func(t *testing.T, c *cluster) {
 				is := is.New(t)
 				c.submit(change("a", 0), 0)
-				c.at(s, 0, 1, func() { c.lose(1) })
+				c.at(s, 0, 1, func() { c.loseDisk(1) })
 				out := c.submit(change("b", 1), 0, 2)
 				is.Equal(out.State, port.ChangeAccepted)
 				is.Equal(out.Version, uint64(2))
 				time.Sleep(time.Second)
 				for _, next := range []int{1, 2, 0} {
 					c.eventually("repair", func() bool { return c.votes(0) && c.votes(1) && c.votes(2) })
-					c.lose(next)
+					c.loseDisk(next)
 				}
-				c.holds(2, 2)
+				c.checkVersion(2, 2)
 				is.Equal(c.submit(change("b", 1), 1), out) // a resend after all disks were lost in turn
-				c.holds(2, 2)
+				c.checkVersion(2, 2)
 			})
 		})
 	}
 }
 
-// TestDiskLostAgainDuringRepair loses the disk at each message of the repair.
+// TestDiskLostAgainDuringRepair guards against a repair that counts for a disk lost
+// after the repair began: the member loses its disk again at each message of it.
 func TestDiskLostAgainDuringRepair(t *testing.T) {
 	for _, s := range steps(probe, fence) {
 		t.Run(s.String(), func(t *testing.T) {
 			inBubble(t, 3, func(t *testing.T, c *cluster) {
 				out := c.submit(change("a", 0), 0)
-				c.at(s, 2, 1, func() { c.lose(2) })
-				c.lose(2)
+				c.at(s, 2, 1, func() { c.loseDisk(2) })
+				c.loseDisk(2)
 				time.Sleep(time.Second)
 				c.eventually("repair", func() bool { return c.votes(2) })
-				c.lose(1)
+				c.loseDisk(1)
 				c.eventually("repair", func() bool { return c.votes(1) })
 				is.New(t).Equal(c.submit(change("a", 0), 2), out)
-				c.holds(1, 1)
+				c.checkVersion(1, 1)
 			})
 		})
 	}
 }
 
-// TestAllCrashAtEachMessage crashes every member at each message of a change,
-// and once more right after it was accepted, or learned.
+// TestAllCrashAtEachMessage guards against a change that a crash of all members
+// loses or applies twice: they crash at each message of the change, and again
+// right after it was accepted, or learned.
 func TestAllCrashAtEachMessage(t *testing.T) {
 	for _, s := range steps(prepare, accept, learn) {
 		t.Run(s.String(), func(t *testing.T) {
@@ -131,9 +137,10 @@
 	}
 }
 
-// TestAllCrashAtEachWrite crashes every member before each step of the writes
-// that a change makes until it is answered: three members create, write and
-// rename a file for the promise and for the value, and one for the commit.
+// TestAllCrashAtEachWrite guards against an answer that is sent before its state is
+// durable. All members crash before each file operation that a change makes until
+// it is answered: three members create, write and rename a file for the promise
+// and for the value, and one member does so for the commit.
 func TestAllCrashAtEachWrite(t *testing.T) {
 	for step := range int64(3*3 + 3*3 + 3) {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
@@ -151,8 +158,8 @@
 	}
 }
 
-// crashInChange crashes every member when arm says so and, after a pause, after
-// the change.
+// crashInChange crashes all members during a change, at the point that arm sets up,
+// and again after the change and a pause.
 func crashInChange(t *testing.T, pause time.Duration, arm func(*cluster)) {
 	inBubble(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -165,7 +172,7 @@
 		c.crash()
 		is.Equal(out.Version, uint64(2))
 		is.Equal(c.submit(change("b", 1), 1), out)
-		c.holds(2, 2)
+		c.checkVersion(2, 2)
 		is.Equal(len(c.all), 4*3) // the first start and three restarts
 		for i := range c.peers {
 			report, err := c.node(i).Query(register.Query{})
@@ -175,26 +182,29 @@
 	})
 }
 
+// TestTwoOfFiveDisksLostAtOnce checks that a group of five repairs two members that
+// lost their disks at the same time.
 func TestTwoOfFiveDisksLostAtOnce(t *testing.T) {
 	inBubble(t, 5, func(_ *testing.T, c *cluster) {
 		c.submit(change("a", 0), 0)
 		for _, pair := range [][2]int{{0, 1}, {2, 3}, {4, 0}} {
-			c.lose(pair[0])
-			c.lose(pair[1])
+			c.loseDisk(pair[0])
+			c.loseDisk(pair[1])
 			c.eventually("repair", func() bool { return c.votes(pair[0]) && c.votes(pair[1]) })
 		}
-		c.holds(1, 1)
+		c.checkVersion(1, 1)
 	})
 }
 
-// TestMemberWithoutQuorumForItsRepairDoesNotVote has lost two of three disks:
-// what the third holds can't be told from the newest, so nothing is decided.
+// TestMemberWithoutQuorumForItsRepairDoesNotVote loses two of three disks. The
+// value of the third member may be stale, so no change may be decided and no read
+// may succeed.
 func TestMemberWithoutQuorumForItsRepairDoesNotVote(t *testing.T) {
 	inBubble(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
 		c.submit(change("a", 0), 0)
-		c.lose(0)
-		c.lose(1)
+		c.loseDisk(0)
+		c.loseDisk(1)
 		time.Sleep(time.Minute)
 		is.True(!c.votes(0) && !c.votes(1))
 		_, err := c.node(0).Submit(context.Background(), change("b", 0))
@@ -204,8 +214,9 @@
 	})
 }
 
-// TestOldImageOfTheDisk puts back an image from before a repair: the others
-// know the repair, and the member is repaired again before its vote counts.
+// TestOldImageOfTheDisk restores a disk image from before a repair, which lacks
+// later promises. The other members know of the repair, and the member must be
+// repaired again before its vote counts.
 func TestOldImageOfTheDisk(t *testing.T) {
 	inBubble(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -222,18 +233,19 @@
 		c.eventually("second repair", func() bool {
 			f, err := c.node(2).Fetch(0, nil)
 			is.NoErr(err)
-			is.True(served <= f.Config.Version) // what is served never goes back
+			is.True(served <= f.Config.Version) // the served version never decreases
 			served = f.Config.Version
 			now, err := c.node(2).Query(register.Query{})
 			return err == nil && now.Voting && before.Generation.Less(now.Generation)
 		})
 		is.Equal(c.submit(change("a", 0), 2).Version, uint64(1))
-		c.holds(2, 2)
+		c.checkVersion(2, 2)
 	})
 }
 
-// TestIsolatedMember cuts a member off at each step of its change, lets the
-// others move on, and joins it again.
+// TestIsolatedMember guards against a false outcome from an isolated member. The
+// member is cut off at each step of its change, the others accept further changes,
+// and the member is connected again.
 func TestIsolatedMember(t *testing.T) {
 	for _, s := range append(steps(prepare, accept, learn), step{query, false}) {
 		t.Run(s.String(), func(t *testing.T) {
@@ -247,14 +259,14 @@
 				accepted := err == nil && out.State == port.ChangeAccepted
 				is.True(accepted || errors.Is(err, port.ErrNoQuorum) || out.State == port.ChangeUnknown) // never refused
 				if s.kind == prepare || s.kind == accept && !s.answer {
-					is.True(!accepted) // no quorum can have taken it
+					is.True(!accepted) // no quorum can have accepted it
 				}
 				_, err = c.node(0).Current(context.Background())
 				is.True(errors.Is(err, port.ErrNoQuorum))
 				fetched, err := c.node(0).Fetch(0, nil)
 				is.NoErr(err)
 				is.True(!fetched.Quorum)
-				is.Equal(fetched.Config.Version, map[bool]uint64{true: 2, false: 1}[accepted]) // serves what it knows
+				is.Equal(fetched.Config.Version, map[bool]uint64{true: 2, false: 1}[accepted]) // serves the newest version it learned
 				late, err := c.node(0).Submit(context.Background(), change("late", 1))
 				is.True(errors.Is(err, port.ErrNoQuorum) || late.State == port.ChangeUnknown)
 
@@ -272,14 +284,15 @@
 				})
 				is.Equal(c.submit(change("b", 1), 0), first)
 				is.Equal(c.submit(change("late", 1), 0).State, port.ChangeConflict)
-				c.holds(5, 6)
+				c.checkVersion(5, 6)
 			})
 		})
 	}
 }
 
-// TestFrozenMember freezes a proposer at each step, lets the others move on,
-// and thaws it: its late messages change nothing.
+// TestFrozenMember guards against late messages of a paused proposer that undo
+// later changes. The proposer is frozen at each step, the others accept further
+// changes, and the proposer is thawed.
 func TestFrozenMember(t *testing.T) {
 	for _, s := range steps(prepare, accept, learn) {
 		for _, to := range []int{1, 2} {
@@ -296,7 +309,7 @@
 					time.Sleep(100 * time.Millisecond)
 					c.set(c.frozen, 0, true)
 					won := c.submit(change("x", 1), 1)
-					is.True(won.Version == 2) // its own, or what the frozen member had got through
+					is.True(won.Version == 2) // its own change, or that of the frozen member if it was already accepted
 					version := uint64(2)
 					for range 3 {
 						is.Equal(c.submit(change(fmt.Sprint("y", version), version), 2).State, port.ChangeAccepted)
@@ -311,13 +324,15 @@
 					if out.State != port.ChangeUnknown && out.State != "" {
 						is.Equal(out, final)
 					}
-					c.holds(version, 6)
+					c.checkVersion(version, 6)
 				})
 			})
 		}
 	}
 }
 
+// TestRaceOfTwoOperators submits two changes of the same base version at once: one
+// must be accepted, and the other must conflict with it.
 func TestRaceOfTwoOperators(t *testing.T) {
 	inBubble(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -338,12 +353,13 @@
 			is.Equal(loser.Digest, winner.Digest)
 			is.Equal(loser.Operator, winner.Operator)
 		}
-		c.holds(20, 40)
+		c.checkVersion(20, 40)
 	})
 }
 
-// TestRaceOverSlowLinks has three operators submit at once through members that
-// are 55 ms apart: all are told an outcome without a resend.
+// TestRaceOverSlowLinks guards against proposers that reject each other's ballots
+// until a timeout. Three operators submit at once through members that are 55 ms
+// apart, and each must get an outcome without a resend.
 func TestRaceOverSlowLinks(t *testing.T) {
 	inBubble(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -370,6 +386,8 @@
 	})
 }
 
+// TestInvalidChangeIsAuditedAndResentAlike checks that an invalid change is recorded
+// once, and that a resend through another member gets the same outcome.
 func TestInvalidChangeIsAuditedAndResentAlike(t *testing.T) {
 	inBubble(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -377,12 +395,13 @@
 		out := c.submit(faulty, 0)
 		is.Equal(out.State, port.ChangeInvalid)
 		is.Equal(c.submit(faulty, 2), out)
-		c.holds(0, 1)
+		c.checkVersion(0, 1)
 	})
 }
 
-// TestRestartAfter500Changes restarts a member that missed them: it catches up
-// with one value from each of the others, and all restart with the outcomes.
+// TestRestartAfter500Changes restarts a member that missed 500 changes. It must
+// catch up with at most one value from each of the two others, and after a restart
+// of all members a resend must get its first outcome.
 func TestRestartAfter500Changes(t *testing.T) {
 	inBubble(t, 3, func(t *testing.T, c *cluster) {
 		is := is.New(t)
@@ -415,10 +434,13 @@
 		mu.Unlock()
 		c.crash()
 		is.Equal(c.submit(change("c499", 499), 2), last)
-		c.holds(500, 500)
+		c.checkVersion(500, 500)
 	})
 }
 
+// TestFirstStartWaitsForAllMembers guards against a group that is founded without
+// some of its members: no member may vote before all were probed as empty. Members
+// that restart meanwhile must still become founders.
 func TestFirstStartWaitsForAllMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -431,7 +453,7 @@
 		is.True(!c.votes(0) && !c.votes(1))
 		c.onEvent(func(e event) {
 			if e.kind == probe && e.answer && e.from != 2 {
-				time.Sleep(3 * time.Second) // only member 2 hears in time that all are empty
+				time.Sleep(3 * time.Second) // only member 2 receives the replies of all empty members in time
 			}
 		})
 		c.start(2, t.TempDir())
@@ -445,7 +467,7 @@
 	})
 }
 
-// failingFS fails every sync once armed.
+// failingFS fails every sync of a folder once armed.
 type failingFS struct {
 	unsyncedFS
 	armed *atomic.Bool
@@ -458,6 +480,9 @@
 	return nil
 }
 
+// TestFailedDiskStopsTheMember guards against answers from a member whose state
+// could not be saved: its Run must return the disk's error, and so must every
+// message of the register and every fetch.
 func TestFailedDiskStopsTheMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -10,11 +10,12 @@
 	"sassafrasreach/internal/wait"
 )
 
-// joinInterval is the pause between two tries to get a vote.
+// joinInterval is the pause between two attempts to obtain a vote.
 const joinInterval = 50 * time.Millisecond
 
-// join gets a vote for a member that has none, as a founder or by a repair, and
-// goes on for as long as it takes.
+// join obtains a vote whenever the member has none, as a founder of the group or
+// by a repair. It retries without a limit and returns when ctx ends: a member may
+// lose its vote later, when stepDown resets it.
 func (n *Node) join(ctx context.Context) {
 	var start *register.Start
 	for {
@@ -34,15 +35,17 @@
 	}
 }
 
+// tryJoin makes one attempt: it probes all other members and, depending on their
+// replies, founds the group, runs a repair or does nothing.
 func (n *Node) tryJoin(ctx context.Context, start *register.Start) {
 	probe := start.Probe()
 	round[register.ProbeReply]{
 		remote: func(ctx context.Context, to Remote) (register.ProbeReply, error) { return to.Probe(ctx, probe) },
 		sender: func(m register.ProbeReply) register.MemberID { return m.Member },
-		take:   func(m register.ProbeReply) bool { start.Reply(m); return false },
+		handle: func(m register.ProbeReply) bool { start.Reply(m); return false },
 	}.run(ctx, n)
 	if founders, ok := start.Founders(); ok {
-		n.found(founders)
+		n.foundGroup(founders)
 		return
 	}
 	if start.CanRepair() {
@@ -50,7 +53,8 @@
 	}
 }
 
-func (n *Node) found(founders [register.MaxMembers]uint64) {
+// foundGroup makes the member vote as a founder of the group and saves its state.
+func (n *Node) foundGroup(founders [register.MaxMembers]uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.failed != nil {
@@ -62,14 +66,15 @@
 	}
 }
 
-// repair fences the other members and takes over what they accepted.
+// repair requests a fence from the other members and, when enough of them granted
+// it, adopts the highest value that they accepted and votes again.
 func (n *Node) repair(ctx context.Context) {
 	repair := register.NewRepair(n.group, n.self, n.nextBallot(register.Ballot{}))
 	fence := repair.Fence()
 	round[register.Fenced]{
 		remote: func(ctx context.Context, to Remote) (register.Fenced, error) { return to.Fence(ctx, fence) },
 		sender: func(m register.Fenced) register.MemberID { return m.Member },
-		take:   repair.Fenced,
+		handle: repair.Fenced,
 	}.run(ctx, n)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/app/control/keepup.go
+++ b/internal/app/control/keepup.go
@@ -10,16 +10,18 @@
 )
 
 const (
-	// keepUpInterval is the pause between two rounds of anti-entropy.
-	keepUpInterval = 300 * time.Millisecond
-	// stalledRounds is the number of rounds after which an accepted value that
-	// isn't known to be chosen is taken for left behind by its proposer.
+	// antiEntropyInterval is the pause between two rounds of anti-entropy.
+	antiEntropyInterval = 300 * time.Millisecond
+	// stalledRounds is the number of consecutive rounds with a quorum but
+	// without a known chosen value after which the member assumes that the
+	// proposer of the accepted value has given up.
 	stalledRounds = 3
 )
 
-// keepUp reads the register from the other members again and again: a member
-// that lags learns the newest chosen value.
-func (n *Node) keepUp(ctx context.Context) {
+// runAntiEntropy queries the members periodically, so that a stale member learns
+// the newest chosen value. When the proposer of an accepted value has given up, it
+// makes a quorum accept that value again, which shows whether it is chosen.
+func (n *Node) runAntiEntropy(ctx context.Context) {
 	stalled := 0
 	for {
 		read := n.readRound(ctx)
@@ -31,24 +33,25 @@
 		}
 		if stalled >= stalledRounds {
 			stalled = 0
-			_, _ = n.settle(ctx)
+			_, _ = n.readByProposal(ctx)
 		}
-		if !wait.For(ctx, keepUpInterval) {
+		if !wait.For(ctx, antiEntropyInterval) {
 			return
 		}
 	}
 }
 
-// readRound asks every member what it accepted, and learns chosen values.
+// readRound queries what the members accepted, until a quorum shows a chosen
+// value, and learns the newest value that any of them knows to be chosen.
 func (n *Node) readRound(ctx context.Context) *register.Read {
 	began := n.clock.Now()
-	read := register.NewRead(n.group, n.queries.Add(1), n.held())
+	read := register.NewRead(n.group, n.queries.Add(1), n.holding())
 	query := read.Query()
 	round[register.Report]{
 		local:  func() (register.Report, error) { return n.Query(query) },
 		remote: func(ctx context.Context, to Remote) (register.Report, error) { return to.Query(ctx, query) },
 		sender: func(m register.Report) register.MemberID { return m.Member },
-		take: func(m register.Report) bool {
+		handle: func(m register.Report) bool {
 			read.Report(m)
 			_, chosen := read.Chosen()
 			return chosen
@@ -59,13 +62,14 @@
 		_ = n.learnValue(h)
 	}
 	if _, chosen := read.Chosen(); chosen {
-		n.noteQuorum(began)
+		n.recordQuorumRead(began)
 	}
 	return read
 }
 
-// stepDown takes the vote from a member that others have seen repaired since
-// the state on its disk was written: an older image of the disk was put back.
+// stepDown withdraws the member's vote when other members know of a repair of it
+// that is later than the state on its disk: an older image of the disk was
+// restored, and promises made since the image are lost.
 func (n *Node) stepDown(read *register.Read) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,8 +80,9 @@
 	_ = n.reset(true)
 }
 
-// noteQuorum records a round that read the newest chosen value.
-func (n *Node) noteQuorum(began time.Time) {
+// recordQuorumRead records the start of a round or an attempt that read the newest
+// chosen value through a quorum.
+func (n *Node) recordQuorumRead(began time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.quorumRead.Before(began) {
--- a/internal/app/control/lift.go
+++ b/internal/app/control/lift.go
@@ -7,9 +7,10 @@
 	"sassafrasreach/internal/port"
 )
 
-// LiftQuarantine implements port.ConfigStore: it records the lift in the
-// register, so that none takes effect without its record, and then tells the
-// members in reach, which tell the entries that ask them.
+// LiftQuarantine implements port.ConfigStore. It first records the lift in the
+// register, so that no lift takes effect without its audit record. It then sends
+// the lift to all members; entries receive it with their fetches. A member that
+// can't be reached doesn't learn of the lift, and the call succeeds nevertheless.
 func (n *Node) LiftQuarantine(ctx context.Context, lift port.Lift) (port.Outcome, error) {
 	proposal := register.LiftProposal{Lift: lift, Time: n.clock.Now()}
 	out, err := n.submit(ctx, lift.ID, func(v *register.Value) (*register.Value, port.Outcome, error) {
@@ -23,7 +24,7 @@
 		remote: func(ctx context.Context, to Remote) (struct{}, error) {
 			return struct{}{}, to.Lift(ctx, lift.Operator, lift.Fingerprint)
 		},
-		take: func(struct{}) bool { return false },
+		handle: func(struct{}) bool { return false },
 	}.run(ctx, n)
 	return out, n.failure()
 }
--- a/internal/app/control/loopback_test.go
+++ b/internal/app/control/loopback_test.go
@@ -18,7 +18,8 @@
 	"sassafrasreach/internal/port"
 )
 
-// startOnLoopback runs members as processes would, over gRPC.
+// startOnLoopback runs members that communicate over gRPC on loopback, as separate
+// processes do.
 func startOnLoopback(t testing.TB, members int) []*control.Node {
 	is := is.New(t)
 	listeners := make([]net.Listener, members)
@@ -52,6 +53,8 @@
 	return nodes
 }
 
+// TestChangesOverGRPC submits and resends changes through different members over
+// gRPC: a resend must have the first outcome and make no second change.
 func TestChangesOverGRPC(t *testing.T) {
 	is := is.New(t)
 	nodes := startOnLoopback(t, 3)
@@ -73,7 +76,7 @@
 	is.NoErr(audit.Verify(trail))
 }
 
-// BenchmarkChange measures a change among members on loopback, with synced
+// BenchmarkChange measures one change among three members on loopback, with synced
 // files.
 func BenchmarkChange(b *testing.B) {
 	is := is.New(b)
--- a/internal/app/control/member.go
+++ b/internal/app/control/member.go
@@ -4,7 +4,8 @@
 	"sassafrasreach/internal/core/register"
 )
 
-// Prepare implements registergrpc.Member.
+// Prepare implements registergrpc.Member. Its answer is returned only after the
+// promise is durable.
 func (n *Node) Prepare(m register.Prepare) (register.Promise, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -20,7 +21,8 @@
 	return answer, nil
 }
 
-// Accept implements registergrpc.Member.
+// Accept implements registergrpc.Member. Its answer is returned only after the
+// value is durable.
 func (n *Node) Accept(m register.Accept) (register.Accepted, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,7 +51,7 @@
 	return n.saveState()
 }
 
-// learnValue takes over a value that is known to be chosen.
+// learnValue adopts a value that is known to be chosen.
 func (n *Node) learnValue(h register.Holding) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -85,7 +87,8 @@
 	return n.acceptor.Probe(m), nil
 }
 
-// Fence implements registergrpc.Member.
+// Fence implements registergrpc.Member. Its answer is returned only after the
+// promise is durable.
 func (n *Node) Fence(m register.Fence) (register.Fenced, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,20 +104,22 @@
 	return answer, nil
 }
 
-// snapshot returns the member's state.
+// snapshot returns the member's current state.
 func (n *Node) snapshot() register.State {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.acceptor.State()
 }
 
-// held returns what the member accepted, as the start of an attempt.
-func (n *Node) held() register.Holding {
+// holding returns what the member accepted. Attempts and query rounds start from
+// it, so that other members needn't send that value.
+func (n *Node) holding() register.Holding {
 	s := n.snapshot()
 	return register.Holding{Accepted: s.Accepted, Value: s.Value, Committed: s.Accepted == s.Committed}
 }
 
-// nextBallot returns a ballot above all that the member has seen.
+// nextBallot returns a ballot higher than seen and than every ballot that the
+// member observed or issued.
 func (n *Node) nextBallot(seen register.Ballot) register.Ballot {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/app/control/operate.go
+++ b/internal/app/control/operate.go
@@ -15,13 +15,13 @@
 const (
 	// readTimeout bounds a read when its context has no earlier deadline.
 	readTimeout = 3 * time.Second
-	// readTries is the number of rounds that wait for another member's change
-	// to be done, readPause the time between them.
+	// readTries is the number of query rounds in which a read waits for another
+	// member's change in progress; readPause is the pause after each.
 	readTries = 3
 	readPause = 50 * time.Millisecond
 )
 
-// Current implements port.ConfigStore.
+// Current implements port.ConfigStore. It reads through a quorum.
 func (n *Node) Current(ctx context.Context) (port.Config, error) {
 	v, err := n.newest(ctx)
 	if err != nil || v == nil {
@@ -30,7 +30,7 @@
 	return v.Config, nil
 }
 
-// Audit implements port.ConfigStore.
+// Audit implements port.ConfigStore. It reads through a quorum.
 func (n *Node) Audit(ctx context.Context) ([]port.AuditRecord, error) {
 	v, err := n.newest(ctx)
 	if err != nil || v == nil {
@@ -39,8 +39,9 @@
 	return slices.Clone(v.Audit), nil
 }
 
-// newest reads the newest chosen value through a quorum; nil is an empty
-// register.
+// newest reads the newest chosen value through a quorum; nil means that the
+// register is empty. Without a query round that shows a chosen value it makes a
+// quorum accept the value again.
 func (n *Node) newest(ctx context.Context) (*register.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -52,10 +53,12 @@
 			return nil, port.ErrNoQuorum
 		}
 	}
-	return n.settle(ctx)
+	return n.readByProposal(ctx)
 }
 
-// Status implements port.ConfigStore.
+// Status implements port.ConfigStore. The version and the digest are those that
+// this member knows; the reports of entries are gathered from all members that
+// reply in time.
 func (n *Node) Status(ctx context.Context) (port.ControlStatus, error) {
 	read := n.readRound(ctx)
 	status := port.ControlStatus{Member: n.name, Quorum: read.Quorum()}
@@ -65,17 +68,18 @@
 	newest := n.tables.all(n.clock.Now())
 	round[[]registergrpc.EntryReport]{
 		remote: func(ctx context.Context, to Remote) ([]registergrpc.EntryReport, error) { return to.Reports(ctx) },
-		take: func(reports []registergrpc.EntryReport) bool {
+		handle: func(reports []registergrpc.EntryReport) bool {
 			newest = append(newest, reports...)
 			return false
 		},
 	}.run(ctx, n)
-	status.Entries = youngest(newest)
+	status.Entries = latestReports(newest)
 	return status, n.failure()
 }
 
-// youngest keeps the youngest report of each entry, sorted by name.
-func youngest(reports []registergrpc.EntryReport) []port.EntryStatus {
+// latestReports returns one report for each entry, sorted by name: the one of the
+// highest incarnation, and among these the youngest.
+func latestReports(reports []registergrpc.EntryReport) []port.EntryStatus {
 	slices.SortFunc(reports, func(a, b registergrpc.EntryReport) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), -cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Age, b.Age))
 	})
--- a/internal/app/control/propose.go
+++ b/internal/app/control/propose.go
@@ -16,35 +16,38 @@
 	MaxDocumentBytes = 4 << 20
 	// submitTimeout bounds Submit when its context has no earlier deadline.
 	submitTimeout = 10 * time.Second
-	// backoffDoublings bounds how often the window doubles.
+	// backoffDoublings is the number of times that the backoff window doubles at
+	// most.
 	backoffDoublings = 4
-	// backoffMin and backoffMax bound the window from which the pause before
-	// another attempt is drawn.
+	// backoffMin is the least length of the first window, and backoffMax the
+	// greatest of any, from which the pause before another attempt is drawn.
 	backoffMin = 20 * time.Millisecond
 	backoffMax = 2 * time.Second
 )
 
-// backoff returns the pause after an attempt that took some time and was
-// preceded by others. Its window is as long as the attempt and doubles, so that
-// one of several proposers gets through before the others come back.
+// backoff returns a random pause after a failed attempt that took the given time
+// and followed the given number of failed attempts. The window is as long as the
+// attempt and doubles with each failure, so that one of several competing
+// proposers completes its attempt before the others retry.
 func backoff(took time.Duration, before int) time.Duration {
 	window := min(max(took, backoffMin)<<min(before, backoffDoublings), backoffMax)
 	return rand.N(window)
 }
 
 // Submit implements port.ConfigStore. Besides port.ErrNoQuorum the error may be
-// register.ErrNoChangeID or register.ErrChangeIDReused. A refused change is in the audit trail too.
+// register.ErrNoChangeID or register.ErrChangeIDReused. A refused change is
+// recorded in the audit trail too.
 func (n *Node) Submit(ctx context.Context, change port.Change) (port.Outcome, error) {
 	proposal := register.Proposal{
-		Change: change, Digest: audit.Digest(change.Document), Invalid: n.faulty(change.Document), Time: n.clock.Now(),
+		Change: change, Digest: audit.Digest(change.Document), Invalid: n.isInvalid(change.Document), Time: n.clock.Now(),
 	}
 	return n.submit(ctx, change.ID, func(v *register.Value) (*register.Value, port.Outcome, error) {
 		return register.Apply(v, proposal)
 	})
 }
 
-// submit makes one write with an ID. One that may have been accepted has an
-// outcome that says so, and no error.
+// submit makes one write with an ID. When the write failed but may have been
+// accepted, it returns an outcome in state port.ChangeUnknown and no error.
 func (n *Node) submit(ctx context.Context, id string, apply func(*register.Value) (*register.Value, port.Outcome, error)) (port.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -53,16 +56,19 @@
 		return out, nil
 	}
 	if proposed {
-		return n.unknown(id), nil
+		return n.unknownOutcome(id), nil
 	}
 	return port.Outcome{}, err
 }
 
-func (n *Node) faulty(document []byte) bool {
+// isInvalid says whether a document is too long or fails the validation.
+func (n *Node) isInvalid(document []byte) bool {
 	return len(document) > MaxDocumentBytes || n.validate(document) != nil
 }
 
-func (n *Node) unknown(id string) port.Outcome {
+// unknownOutcome returns the outcome of a write that may have been accepted, with
+// the newest document that this member knows to be chosen.
+func (n *Node) unknownOutcome(id string) port.Outcome {
 	out := port.Outcome{ChangeID: id, State: port.ChangeUnknown}
 	if v := n.snapshot().CommittedValue; v != nil {
 		out.Version, out.Digest, out.Operator = v.Version, v.Digest, v.Operator
@@ -70,8 +76,8 @@
 	return out
 }
 
-// settle finds out the newest chosen value by making a quorum accept it again.
-func (n *Node) settle(ctx context.Context) (*register.Value, error) {
+// readByProposal reads the newest chosen value by making a quorum accept it again.
+func (n *Node) readByProposal(ctx context.Context) (*register.Value, error) {
 	var newest *register.Value
 	_, _, err := n.propose(ctx, func(v *register.Value) (*register.Value, port.Outcome, error) {
 		newest = v
@@ -80,13 +86,13 @@
 	return newest, err
 }
 
-// propose makes attempts until one ends the matter or ctx ends. The flag says
-// whether a value that decide returned may have been, or may yet be, chosen
-// when the error isn't nil.
+// propose makes attempts with increasing ballots until one succeeds, decide
+// returns an error, the node fails or ctx ends. When the error isn't nil, the flag
+// says whether a value that decide returned may have been chosen or may still be.
 func (n *Node) propose(ctx context.Context, decide register.Decide) (port.Outcome, bool, error) {
 	select {
-	case n.turn <- struct{}{}:
-		defer func() { <-n.turn }()
+	case n.proposeSem <- struct{}{}:
+		defer func() { <-n.proposeSem }()
 	case <-ctx.Done():
 		return port.Outcome{}, false, port.ErrNoQuorum
 	}
@@ -94,12 +100,12 @@
 	seen := register.Ballot{}
 	for tries := 0; ctx.Err() == nil && n.failure() == nil; tries++ {
 		began, started := n.clock.Now(), time.Now()
-		a := register.NewAttempt(n.group, n.nextBallot(seen), n.held(), decide)
+		a := register.NewAttempt(n.group, n.nextBallot(seen), n.holding(), decide)
 		n.attempt(ctx, a)
 		switch out, err := a.Outcome(); {
 		case a.Phase() == register.Chosen:
-			n.announce(a)
-			n.noteQuorum(began)
+			n.sendLearn(a)
+			n.recordQuorumRead(began)
 			return out, true, nil
 		case err != nil:
 			return port.Outcome{}, proposed, err
@@ -111,14 +117,15 @@
 	return port.Outcome{}, proposed, port.ErrNoQuorum
 }
 
-// attempt runs the two rounds of one attempt.
+// attempt runs the prepare and the accept round of one attempt. The accept round
+// follows only after a quorum promised.
 func (n *Node) attempt(ctx context.Context, a *register.Attempt) {
 	prepare := a.Prepare()
 	round[register.Promise]{
 		local:  func() (register.Promise, error) { return n.Prepare(prepare) },
 		remote: func(ctx context.Context, to Remote) (register.Promise, error) { return to.Prepare(ctx, prepare) },
 		sender: func(m register.Promise) register.MemberID { return m.Member },
-		take: func(m register.Promise) bool {
+		handle: func(m register.Promise) bool {
 			a.Promise(m)
 			return a.Phase() != register.Preparing
 		},
@@ -131,20 +138,22 @@
 		local:  func() (register.Accepted, error) { return n.Accept(accept) },
 		remote: func(ctx context.Context, to Remote) (register.Accepted, error) { return to.Accept(ctx, accept) },
 		sender: func(m register.Accepted) register.MemberID { return m.Member },
-		take: func(m register.Accepted) bool {
+		handle: func(m register.Accepted) bool {
 			a.Accepted(m)
 			return a.Phase() != register.Accepting
 		},
 	}.run(ctx, n)
 }
 
-// announce tells every member that the attempt's value was chosen.
-func (n *Node) announce(a *register.Attempt) {
+// sendLearn learns the attempt's value, which was chosen, and sends the other
+// members a Learn without waiting for their answers. A member that misses it
+// learns the value by anti-entropy.
+func (n *Node) sendLearn(a *register.Attempt) {
 	learn := a.Learn()
 	_ = n.learnValue(register.Holding{Accepted: a.Ballot(), Value: a.Value(), Committed: true})
 	for _, to := range n.remotes {
 		if to != nil {
-			n.send(func() { _ = to.Learn(n.life, learn) })
+			n.send(func() { _ = to.Learn(n.sendCtx, learn) })
 		}
 	}
 }
--- a/internal/app/control/round.go
+++ b/internal/app/control/round.go
@@ -7,32 +7,33 @@
 	"sassafrasreach/internal/core/register"
 )
 
-// roundTimeout bounds the wait for the answers of one round.
+// roundTimeout bounds the time that a round waits for answers.
 const roundTimeout = time.Second
 
-// answer is one member's answer in a round.
+// answer is one member's answer in a round, or the error in place of it.
 type answer[R any] struct {
 	from register.MemberID
 	body R
 	err  error
 }
 
-// round is one message to every member and what is done with the answers.
+// round sends one message to every member and handles their answers.
 type round[R any] struct {
-	// local answers for the node itself; nil leaves it out.
+	// local returns the node's own answer; nil leaves the node out.
 	local func() (R, error)
 	// remote sends the message to another member.
 	remote func(context.Context, Remote) (R, error)
-	// sender names the member that an answer says it is from; nil skips the
-	// check.
+	// sender returns the member that an answer names as its sender. Answers
+	// that name another than the message was sent to are dropped; nil skips
+	// the check.
 	sender func(R) register.MemberID
-	// take handles an answer and says whether the round is over.
-	take func(R) bool
+	// handle processes an answer and says whether the round is over.
+	handle func(R) bool
 }
 
-// run sends the messages and takes the answers until take says that the round
-// is over, all members answered, ctx ended or the time is up. Messages that are
-// still under way then go on to their members.
+// run sends the messages and handles answers until handle returns true, all
+// members answered, ctx ended or roundTimeout passed. Messages that are in flight
+// then are not canceled: they use the node's sendCtx, not ctx.
 func (r round[R]) run(ctx context.Context, n *Node) {
 	answers := make(chan answer[R], len(n.remotes))
 	sent := 0
@@ -42,7 +43,7 @@
 		}
 		sent++
 		n.send(func() {
-			body, err := r.remote(n.life, to)
+			body, err := r.remote(n.sendCtx, to)
 			answers <- answer[R]{from: register.MemberID(i), body: body, err: err}
 		})
 	}
@@ -54,6 +55,7 @@
 	r.collect(ctx, answers, sent)
 }
 
+// collect handles up to sent answers. Failed calls are skipped.
 func (r round[R]) collect(ctx context.Context, answers <-chan answer[R], sent int) {
 	limit := time.NewTimer(roundTimeout)
 	defer limit.Stop()
@@ -63,7 +65,7 @@
 			if a.err != nil || r.sender != nil && r.sender(a.body) != a.from {
 				continue
 			}
-			if r.take(a.body) {
+			if r.handle(a.body) {
 				return
 			}
 		case <-limit.C:
@@ -74,11 +76,11 @@
 	}
 }
 
-// send runs f, which sends a message, unless the node has ended.
+// send runs f, which sends a message, in a goroutine unless sendCtx was canceled.
 func (n *Node) send(f func()) {
-	n.callsMu.Lock()
-	defer n.callsMu.Unlock()
-	if n.life.Err() == nil {
-		n.calls.Go(f)
+	n.sendsMu.Lock()
+	defer n.sendsMu.Unlock()
+	if n.sendCtx.Err() == nil {
+		n.sends.Go(f)
 	}
 }
--- a/internal/app/control/state.go
+++ b/internal/app/control/state.go
@@ -14,13 +14,15 @@
 	"sassafrasreach/internal/event"
 )
 
+// Names of the records in the data folder.
 const (
 	stateRecord = "state"
 	valueRecord = "value"
 )
 
-// open loads the node's state. A folder that is empty, or whose records don't
-// verify, gives a state that doesn't vote, under a new nonce.
+// open opens the data folder and loads the node's state. When a record is missing
+// or fails verification, the member starts with a state that doesn't vote, under
+// a new nonce.
 func (n *Node) open(cfg Config) error {
 	folder, err := disk.Open(cfg.Files, cfg.DataDir)
 	if err != nil {
@@ -42,6 +44,7 @@
 	return n.reset(damaged)
 }
 
+// restore continues from the records of the data folder.
 func (n *Node) restore(state, value []byte) error {
 	s, err := registergrpc.UnmarshalState(state, value, n.groupID)
 	if err != nil {
@@ -52,9 +55,9 @@
 	return nil
 }
 
-// damaged says whether a folder without a usable state held one before: only a
-// folder without records, or with the first record of an interrupted first
-// start, did not.
+// damaged says whether a folder without a usable state may have held one before.
+// It did not when it has no records, or only the state record of a first start
+// that was interrupted before the value record was saved.
 func (n *Node) damaged(state []byte, stateErr, valueErr error) bool {
 	if !errors.Is(valueErr, disk.ErrMissing) {
 		return true
@@ -66,10 +69,10 @@
 	return stateErr != nil || err != nil || s.Voting || s.Damaged
 }
 
-// reset makes the folder one that never voted, or was damaged. What the member
-// knows to be chosen stays true and is kept. The state goes first: until the
-// value is saved too, the folder holds no usable state. Must hold mu, or be
-// called from New.
+// reset replaces the state by one that doesn't vote, marked as damaged or as new.
+// The value that the member knows to be chosen remains valid and is kept. The
+// state record is saved before the value record: a crash between the two must not
+// leave a folder whose state still votes. The caller must hold mu or be New.
 func (n *Node) reset(damaged bool) error {
 	nonce, err := newNonce()
 	if err != nil {
@@ -87,21 +90,24 @@
 	return n.saveValue()
 }
 
+// newNonce returns a random nonce that isn't zero.
 func newNonce() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		return 0, fmt.Errorf("draw nonce: %w", err)
+		return 0, fmt.Errorf("generate the nonce of the data folder: %w", err)
 	}
 	return binary.BigEndian.Uint64(b[:]) | 1, nil
 }
 
+// observe makes later ballots higher than those of the state.
 func (n *Node) observe(s register.State) {
 	n.ballots.Observe(s.Promised)
 	n.ballots.Observe(s.Accepted)
 	n.ballots.Observe(s.Committed)
 }
 
-// saveState makes promises durable; must hold mu, or be called from New.
+// saveState makes promises, the vote and the ballots durable. The caller must hold
+// mu or be New.
 func (n *Node) saveState() error {
 	record, err := registergrpc.MarshalState(n.acceptor.State(), n.groupID)
 	if err != nil {
@@ -110,8 +116,8 @@
 	return n.fail(n.folder.Save(stateRecord, record))
 }
 
-// saveValue makes the accepted and the committed value durable; must hold mu,
-// or be called from New.
+// saveValue makes the accepted and the committed value durable. The caller must
+// hold mu or be New.
 func (n *Node) saveValue() error {
 	record, err := registergrpc.MarshalValue(n.acceptor.State())
 	if err != nil {
@@ -120,8 +126,9 @@
 	return n.fail(n.folder.Save(valueRecord, record))
 }
 
-// saveBoth makes the whole state durable. The value goes first: a state that
-// votes must not be found with an older value. Must hold mu.
+// saveBoth makes the whole state durable. The value is saved first: after a crash
+// between the two, a state that votes must not be loaded with an older value. The
+// caller must hold mu.
 func (n *Node) saveBoth() error {
 	if err := n.saveValue(); err != nil {
 		return err
@@ -129,14 +136,14 @@
 	return n.saveState()
 }
 
-// fail stops the member for good when err is not nil; must hold mu, or be
-// called from New.
+// fail stops the member permanently when err is not nil. It returns the error that
+// stopped the member, now or earlier. The caller must hold mu or be New.
 func (n *Node) fail(err error) error {
 	if err == nil || n.failed != nil {
 		return n.failed
 	}
 	n.failed = err
-	close(n.stopped)
+	close(n.failedSignal)
 	event.Log(context.Background(), n.logger, event.FolderFailed, slog.Any("cause", err))
 	return err
 }
