--- a/internal/adapter/console/console_test.go
+++ b/internal/adapter/console/console_test.go
@@ -167,7 +167,7 @@
 		{"duration", []string{"services[1].deadline", "2"}, `name="d.services[1].deadline" value="2"`, "a duration such as"},
 		{"unknown place", []string{"services[0].places", "norte-a sul"}, `name="d.services[0].places" value="norte-a sul"`, `no place is named "sul"`},
 		{"entry", []string{"places[0].entries[1].peer", "here"}, `name="d.places[0].entries[1].peer" value="here"`, "isn't IP:port"},
-		{"whole rule", []string{"rules[1].from", "norte-a", "rules[1].to", "norte-b"}, `name="d.rules[1]" value="1">`, "stands already at rules[0]"},
+		{"whole rule", []string{"rules[1].from", "norte-a", "rules[1].to", "norte-b"}, `name="d.rules[1]" value="1">`, "is a duplicate of rules[0]"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/core/document/bounds.go
+++ b/internal/core/document/bounds.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds of the fields; both ends are allowed.
+// Inclusive bounds of the fields.
 const (
 	// MaxTextBytes bounds the text of a document.
 	MaxTextBytes = 4 << 20
@@ -16,7 +16,8 @@
 	// MinDeadline and MaxDeadline bound Service.Deadline.
 	MinDeadline = time.Millisecond
 	MaxDeadline = 10 * time.Minute
-	// MaxBodyBytesBound bounds Service.MaxBodyBytes, which are held in memory.
+	// MaxBodyBytesBound bounds Service.MaxBodyBytes. Request bodies are held in
+	// memory.
 	MaxBodyBytesBound = 64 << 20
 	// MaxAnswerBytesBound bounds Service.MaxAnswerBytes.
 	MaxAnswerBytesBound = 1 << 30
@@ -30,7 +31,7 @@
 	MaxRequestsPerS = 10_000_000
 	// MaxRamp bounds Rule.Ramp.
 	MaxRamp = time.Hour
-	// MaxFaults bounds the faults that one validation reports.
+	// MaxFaults bounds the number of faults that one validation reports.
 	MaxFaults = 1000
 )
 
--- a/internal/core/document/defaults.go
+++ b/internal/core/document/defaults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Defaults of fields that are left out. A field that is written keeps its
-// value, also when that is zero.
+// Defaults of fields that are omitted from the text. A field that is present keeps
+// its value, even if that is zero.
 const (
 	// DefaultReservePercent is the default of Region.ReservePercent.
 	DefaultReservePercent = 10
@@ -26,25 +26,25 @@
 // DefaultIdempotentMethods is the default of Service.IdempotentMethods.
 func DefaultIdempotentMethods() []string { return []string{"GET", "HEAD"} }
 
-// The methods below set the defaults before the fields are read. They take the
-// function form of yaml.Unmarshaler because the decoder stays strict in it,
-// which it doesn't when a yaml.Node is decoded.
+// The methods below set the defaults before the fields are decoded. They use the
+// form of yaml.Unmarshaler that takes a function, because the decoder rejects
+// unknown fields in it, but not when a yaml.Node is decoded.
 
-// UnmarshalYAML sets the defaults and reads the region.
+// UnmarshalYAML sets the defaults and decodes the region.
 func (r *Region) UnmarshalYAML(unmarshal func(any) error) error {
 	type region Region
 	*r = Region{ReservePercent: DefaultReservePercent}
 	return unmarshal((*region)(r))
 }
 
-// UnmarshalYAML sets the defaults and reads the link.
+// UnmarshalYAML sets the defaults and decodes the link.
 func (l *Link) UnmarshalYAML(unmarshal func(any) error) error {
 	type link Link
 	*l = Link{FillPercent: DefaultFillPercent}
 	return unmarshal((*link)(l))
 }
 
-// NewService returns a service that has the defaults and nothing else.
+// NewService returns a service with the defaults; all other fields are zero.
 func NewService() Service {
 	return Service{
 		IdempotentMethods: DefaultIdempotentMethods(),
@@ -56,14 +56,14 @@
 	}
 }
 
-// UnmarshalYAML sets the defaults and reads the service.
+// UnmarshalYAML sets the defaults and decodes the service.
 func (s *Service) UnmarshalYAML(unmarshal func(any) error) error {
 	type service Service
 	*s = NewService()
 	return unmarshal((*service)(s))
 }
 
-// UnmarshalYAML sets the defaults and reads the rule.
+// UnmarshalYAML sets the defaults and decodes the rule.
 func (r *Rule) UnmarshalYAML(unmarshal func(any) error) error {
 	type rule Rule
 	*r = Rule{Ramp: Duration(DefaultRamp)}
--- a/internal/core/document/diff.go
+++ b/internal/core/document/diff.go
@@ -7,19 +7,20 @@
 	"strings"
 )
 
-// Difference is one field that two documents have differently.
+// Difference is one field whose value differs between two documents.
 type Difference struct {
-	// Path names the field; elements of lists are named by what identifies
-	// them, as in services[belt-control].slots.
+	// Path names the field by its YAML names. Elements of lists are named by
+	// their identity instead of their index, as in services[belt-control].slots.
 	Path string `json:"path"`
-	// Before and After are the values; an element that is added or removed is
-	// shown whole as JSON, and its other value is empty.
+	// Before and After are the values. An element that was added or removed is
+	// shown as JSON in one of them, and the other is empty.
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// Diff returns what differs between two documents, in the order of the new one
-// and then what is gone. A nil document counts as an empty one.
+// Diff returns the differences between two documents, field by field. Within a
+// list, changed and added elements come first, in the order of the new document,
+// and removed ones after them. A nil document counts as an empty one.
 func Diff(old, new *Document) []Difference {
 	if old == nil {
 		old = &Document{}
@@ -32,6 +33,7 @@
 	return out
 }
 
+// diffStruct compares two structs field by field. Paths use the yaml tags.
 func diffStruct(out *[]Difference, path string, old, new reflect.Value) {
 	for i := range old.NumField() {
 		name, _, _ := strings.Cut(old.Type().Field(i).Tag.Get("yaml"), ",")
@@ -42,6 +44,8 @@
 	}
 }
 
+// diffValue compares two values of a field. Lists other than of structs are
+// compared as a whole.
 func diffValue(out *[]Difference, path string, old, new reflect.Value) {
 	if old.Kind() == reflect.Slice && old.Type().Elem().Kind() == reflect.Struct {
 		diffList(out, path, old, new)
@@ -53,7 +57,7 @@
 	}
 }
 
-// diffList compares two lists of elements by what identifies each.
+// diffList compares the elements of two lists that have the same identity.
 func diffList(out *[]Difference, path string, old, new reflect.Value) {
 	before := make(map[string]int, old.Len())
 	for i := range old.Len() {
@@ -78,7 +82,8 @@
 	}
 }
 
-// identity returns what identifies an element among its siblings.
+// identity returns the text that identifies an element within its list: its field
+// Name, for elements that have one.
 func identity(v reflect.Value) string {
 	switch e := v.Interface().(type) {
 	case Link:
@@ -92,6 +97,7 @@
 	}
 }
 
+// show returns a value as an operator reads it.
 func show(v reflect.Value) string {
 	switch e := v.Interface().(type) {
 	case string:
--- a/internal/core/document/diff_test.go
+++ b/internal/core/document/diff_test.go
@@ -10,7 +10,7 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// filled returns a document with one element in each list and no field at zero.
+// filled returns a document with an element in each list and no field that is zero.
 func filled() *document.Document {
 	return &document.Document{
 		Regions: []document.Region{{Name: "north", ReservePercent: 20}},
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestDiffKeepsItsNames holds the names that operators are shown for each list:
-// a renamed Go field must not change them.
-func TestDiffKeepsItsNames(t *testing.T) {
+// TestDiffUsesOuterNames guards the names and the JSON that operators see for each
+// list: renaming a Go field must not change them.
+func TestDiffUsesOuterNames(t *testing.T) {
 	is := is.New(t)
 	want := []document.Difference{
 		{Path: "regions[north]", After: `{"name":"north","reserve_percent":20}`},
@@ -61,7 +61,8 @@
 	is.Equal(document.Diff(old, filled()), inner)
 }
 
-// TestDiffNamesEachField changes every field of every element.
+// TestDiffNamesEachField guards against a difference that Diff misses: it changes
+// every field of every element except those that identify it.
 func TestDiffNamesEachField(t *testing.T) {
 	is := is.New(t)
 	old := filled()
--- a/internal/core/document/duration.go
+++ b/internal/core/document/duration.go
@@ -31,7 +31,8 @@
 // MarshalYAML implements yaml.Marshaler.
 func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
 
-// UnmarshalYAML implements yaml.Unmarshaler; its error names the line.
+// UnmarshalYAML implements yaml.Unmarshaler. The error is a *yaml.TypeError that
+// names the line.
 func (d *Duration) UnmarshalYAML(n *yaml.Node) error {
 	if n.Kind != yaml.ScalarNode {
 		return durationError(n)
@@ -42,7 +43,8 @@
 	return nil
 }
 
-// durationError has the form of the YAML library's own errors.
+// durationError returns an error in the format of the YAML library's type errors,
+// which strictyaml parses.
 func durationError(n *yaml.Node) error {
 	message := fmt.Sprintf("line %d: cannot unmarshal %s `%s` into document.Duration", n.Line, n.ShortTag(), n.Value)
 	return &yaml.TypeError{Errors: []string{message}}
--- a/internal/core/document/edit.go
+++ b/internal/core/document/edit.go
@@ -7,18 +7,19 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// drainsKey is the field of a document that holds its drains.
+// drainsKey is the YAML name of Document.Drains.
 const drainsKey = "drains"
 
-// ReplaceDrains returns the text of a document with other drains. Comments and
-// the order of all other fields stay; blank lines and indents don't.
+// ReplaceDrains returns the text of a document with its drains replaced. Comments
+// and the order of all other fields are kept; blank lines and indentation are not.
+// The error wraps ErrInvalid when the text is YAML but not a mapping.
 func ReplaceDrains(text []byte, drains []Drain) ([]byte, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
 		return nil, fmt.Errorf("replace the drains: %w", err)
 	}
 	if len(root.Content) == 0 || root.Content[0].Kind != yaml.MappingNode {
-		return nil, fmt.Errorf("replace the drains: %w: the document isn't a mapping", ErrInvalid)
+		return nil, fmt.Errorf("replace the drains: %w: the top level isn't a mapping of fields such as regions and places", ErrInvalid)
 	}
 	fields := root.Content[0]
 	removeField(fields, drainsKey)
@@ -33,6 +34,7 @@
 	return encode(&root)
 }
 
+// removeField removes a key and its value from a mapping node.
 func removeField(fields *yaml.Node, key string) {
 	for i := 0; i+1 < len(fields.Content); i += 2 {
 		if fields.Content[i].Value == key {
@@ -42,7 +44,7 @@
 	}
 }
 
-// encode returns a value as YAML.
+// encode returns a value as YAML, indented by yamlIndent.
 func encode(value any) ([]byte, error) {
 	var text bytes.Buffer
 	encoder := yaml.NewEncoder(&text)
--- a/internal/core/document/examples_test.go
+++ b/internal/core/document/examples_test.go
@@ -10,9 +10,11 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// examples is the folder of whole documents.
+// examples is the folder of the example documents.
 const examples = "../../../examples"
 
+// TestExamplesAreValid guards against examples that this version rejects, and
+// against Marshal losing a field of them.
 func TestExamplesAreValid(t *testing.T) {
 	cases := []struct {
 		file                     string
--- a/internal/core/document/fault.go
+++ b/internal/core/document/fault.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// ErrInvalid means that a document was read but has faults.
+// ErrInvalid means that a text is YAML but not a valid document.
 var ErrInvalid = errors.New("invalid document")
 
-// Fault is one thing that is wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
-	// Path names the field, such as services[1].places[0]; it is empty when
-	// the text can't be read at all.
+	// Path names the field, such as services[1].places[0]. It is empty when
+	// the fault concerns the text as a whole.
 	Path string `json:"path"`
-	// Message says what is wrong.
+	// Message says what is wrong and what would be right.
 	Message string `json:"message"`
 }
 
@@ -26,8 +26,8 @@
 	return f.Path + ": " + f.Message
 }
 
-// Faults is all that is wrong with a document. It is an error that wraps
-// ErrInvalid.
+// Faults lists the errors in a document, at most MaxFaults. It is an error that
+// wraps ErrInvalid.
 type Faults []Fault //nolint:errname // a list that is also an error
 
 // Error implements error.
--- a/internal/core/document/lookup.go
+++ b/internal/core/document/lookup.go
@@ -1,6 +1,6 @@
 package document
 
-// ServiceByName returns the service of that name, or nil.
+// ServiceByName returns the service with the name, or nil.
 func (d *Document) ServiceByName(name string) *Service {
 	for i := range d.Services {
 		if d.Services[i].Name == name {
@@ -10,7 +10,7 @@
 	return nil
 }
 
-// PlaceByName returns the place of that name, or nil.
+// PlaceByName returns the place with the name, or nil.
 func (d *Document) PlaceByName(name string) *Place {
 	for i := range d.Places {
 		if d.Places[i].Name == name {
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// RegionByName returns the region of that name, or nil.
+// RegionByName returns the region with the name, or nil.
 func (d *Document) RegionByName(name string) *Region {
 	for i := range d.Regions {
 		if d.Regions[i].Name == name {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// EntryByName returns the entry of that name and its place, or nil and nil.
+// EntryByName returns the entry with the name and its place, or nil and nil.
 func (d *Document) EntryByName(name string) (*Entry, *Place) {
 	for i := range d.Places {
 		place := &d.Places[i]
@@ -43,7 +43,8 @@
 	return nil, nil
 }
 
-// OperatorByToken returns the operator whose token has the hex SHA-256, or nil.
+// OperatorByToken returns the operator whose token has the given hex SHA-256, or
+// nil.
 func (d *Document) OperatorByToken(sha256Hex string) *Operator {
 	for i := range d.Operators {
 		if d.Operators[i].TokenSHA256 == sha256Hex {
@@ -53,7 +54,8 @@
 	return nil
 }
 
-// Drained says whether a place is out of use for a service.
+// Drained says whether a place is drained for a service, by a drain of that service
+// or of all.
 func (d *Document) Drained(place, service string) bool {
 	for _, drain := range d.Drains {
 		if drain.Place == place && (drain.Service == "" || drain.Service == service) {
@@ -63,7 +65,7 @@
 	return false
 }
 
-// EntryCount returns the number of entries of all places.
+// EntryCount returns the number of entries in all places.
 func (d *Document) EntryCount() int {
 	count := 0
 	for i := range d.Places {
@@ -72,7 +74,7 @@
 	return count
 }
 
-// EntryNames returns the names of all entries in the document's order.
+// EntryNames returns the names of all entries in the order of the document.
 func (d *Document) EntryNames() []string {
 	names := make([]string, 0, d.EntryCount())
 	for i := range d.Places {
--- a/internal/core/document/moves.go
+++ b/internal/core/document/moves.go
@@ -1,39 +1,42 @@
 package document
 
-// Move is traffic that loses its place when one document follows another, and
-// what may carry it elsewhere.
+// Move is the traffic of one service that loses its place when one document
+// replaces another, with the rules by which it may shift elsewhere.
 type Move struct {
-	// Service and From name the service and the place that it leaves.
+	// Service names the service, From the place that its traffic leaves.
 	Service string `json:"service"`
 	From    string `json:"from"`
-	// Slots is the part of the service's slots that the place had, with the
-	// workers spread evenly over the service's places.
+	// Slots is the place's part of the service's slots in the old document, if
+	// the workers are spread evenly over the service's places.
 	Slots int `json:"slots"`
-	// Ways are the rules that let the traffic shift; without one its requests
-	// are refused.
+	// Ways are the rules that permit the traffic to shift. Without any, its
+	// requests are refused.
 	Ways []Way `json:"ways"`
 }
 
-// Way is a rule that lets traffic shift, with what its cap means for the links.
+// Way is a rule that permits traffic to shift, with the bandwidth that its cap
+// needs on the link between the regions.
 type Way struct {
 	// Rule and To name the rule and its destination.
 	Rule string `json:"rule"`
 	To   string `json:"to"`
-	// RequestsPerS is the rule's cap.
+	// RequestsPerS is the rule's cap in requests per second.
 	RequestsPerS int `json:"requests_per_s"`
-	// Ramp is the time in which the shift grows to the cap.
+	// Ramp is the time in which the shift increases to the cap.
 	Ramp Duration `json:"ramp"`
-	// Link names the link that carries the answers; empty within a region.
+	// Link names the link that carries the answers, as in "south to north". It
+	// is empty without such a link, as within a region.
 	Link string `json:"link,omitempty"`
-	// MbitPerS is what answers need at the cap, UsableMbitPerS what steering
-	// may use of the link.
+	// MbitPerS is the bandwidth that the answers need at the cap, and
+	// UsableMbitPerS the bandwidth of the link that steering may use, both in
+	// megabits per second.
 	MbitPerS       float64 `json:"mbit_per_s,omitempty"`
 	UsableMbitPerS float64 `json:"usable_mbit_per_s,omitempty"`
 }
 
-// Moves returns the traffic that loses its place when new follows old: places
-// that are newly drained or that a service no longer has. Both documents must
-// be valid; a nil old one has no traffic.
+// Moves returns the traffic that loses its place when new replaces old, because
+// the place is newly drained or the service no longer lists it. Both documents
+// must be valid. Without an old document (nil) there is no traffic.
 func Moves(old, new *Document) []Move {
 	if old == nil {
 		return nil
@@ -58,7 +61,7 @@
 	return moves
 }
 
-// ways returns the rules by which the service's traffic may leave the place.
+// ways returns the rules that permit the service's traffic to leave the place.
 func (v *validator) ways(service, place string) []Way {
 	var ways []Way
 	region := v.regionOf[place]
@@ -74,7 +77,7 @@
 			to = in
 		}
 		if link := v.link[[2]string{to, region}]; link != nil {
-			_, answer := v.sizes(r)
+			_, answer := v.messageSizes(r)
 			way.Link = to + " to " + region
 			way.MbitPerS = mbitPerS(r.RequestsPerS, answer)
 			way.UsableMbitPerS = link.UsableMbitPerS()
@@ -84,7 +87,7 @@
 	return ways
 }
 
-// mbitPerS returns the megabits per second of so many requests of a size.
+// mbitPerS returns the megabits per second of messages of a size.
 func mbitPerS(requestsPerS int, bytes int64) float64 {
 	return float64(requestsPerS) * float64(bytes) * 8 / bitsPerMbit
 }
--- a/internal/core/document/property_test.go
+++ b/internal/core/document/property_test.go
@@ -17,8 +17,9 @@
 	testseed.Main(m, testseed.Settings{Seed: 20261})
 }
 
-// TestClientOverlapsProperty compares the faults of random client blocks with
-// a comparison of every pair.
+// TestClientOverlapsProperty guards against overlaps that the validation with its
+// stack of enclosing blocks misses: it compares the result for random client blocks
+// with a comparison of every pair.
 func TestClientOverlapsProperty(t *testing.T) {
 	block := rapid.Custom(func(t *rapid.T) netip.Prefix {
 		bits := rapid.IntRange(24, 32).Draw(t, "bits")
@@ -51,7 +52,7 @@
 			got = got || strings.Contains(f.Path, ".clients[")
 		}
 		if got != want {
-			t.Fatalf("fault %t, want %t: %v of %v", got, want, blocks, owners)
+			t.Fatalf("fault reported: %t, want %t; blocks %v of places %v", got, want, blocks, owners)
 		}
 	})
 }
--- a/internal/core/document/reference_test.go
+++ b/internal/core/document/reference_test.go
@@ -14,12 +14,12 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// row is a row of the reference's tables.
+// row is a row of the tables of the reference page.
 type row struct{ path, kind, unit, def, bound string }
 
 var rowPattern = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([^|]*) \\| ([^|]*) \\| ([^|]*) \\| ([^|]*) \\| .+ \\|$")
 
-// reference reads the rows of the page by their paths.
+// reference returns the rows of the page by their paths.
 func reference(t *testing.T) map[string]row {
 	t.Helper()
 	page, err := os.ReadFile("../../../docs/reference/document.md")
@@ -27,14 +27,14 @@
 	rows := make(map[string]row)
 	for _, m := range rowPattern.FindAllStringSubmatch(string(page), -1) {
 		if _, twice := rows[m[1]]; twice {
-			t.Errorf("%s stands twice", m[1])
+			t.Errorf("%s has two rows", m[1])
 		}
 		rows[m[1]] = row{m[1], m[2], m[3], m[4], m[5]}
 	}
 	return rows
 }
 
-// kinds names the types of fields.
+// kinds maps the types of fields to their names on the page.
 var kinds = map[reflect.Type]string{
 	reflect.TypeFor[string]():            "text",
 	reflect.TypeFor[int]():               "number",
@@ -43,9 +43,10 @@
 	reflect.TypeFor[document.Duration](): "duration",
 }
 
-// TestReferenceIsAlike compares the page with the types: every field has one
-// row with its type and the default that Parse gives, and no row is left over.
-func TestReferenceIsAlike(t *testing.T) {
+// TestReferencePageMatchesTypes guards against a reference page that is out of
+// date: every field must have one row with its type and the default that Parse
+// sets, and every row must be of a field.
+func TestReferencePageMatchesTypes(t *testing.T) {
 	rows := reference(t)
 	blank, err := document.Parse([]byte("regions: [{}]\nplaces: [{entries: [{}]}]\nlinks: [{}]\nservices: [{}]\nrules: [{shares: [{}]}]\ndrains: [{}]\noperators: [{}]\n"))
 	is.New(t).NoErr(err)
@@ -85,7 +86,7 @@
 	}
 }
 
-// duration returns a duration as time.Duration and any other value as it is.
+// duration returns a Duration as a time.Duration and any other value unchanged.
 func duration(v reflect.Value) any {
 	if d, ok := v.Interface().(document.Duration); ok {
 		return d.Std()
@@ -95,8 +96,8 @@
 
 var boundPattern = regexp.MustCompile(`^(\S+) to (\S+)$`)
 
-// TestReferenceBounds tries each end of each bound on the page, and the value
-// beyond it.
+// TestReferenceBounds guards against bounds on the page that differ from those of
+// the validation: it validates both ends of each bound and the values just beyond.
 func TestReferenceBounds(t *testing.T) {
 	text := strings.Replace(read(t, "hanbit.yaml"), "operators:", "  - {name: shared, from: honam, to: yeongnam, requests_per_s: 1, shares: [{entry: dalseo-b-1, percent: 100}]}\noperators:", 1)
 	tried := 0
@@ -111,19 +112,19 @@
 			doc, err := document.Parse([]byte(text))
 			is.New(t).NoErr(err)
 			at := set(reflect.ValueOf(doc).Elem(), path, value)
-			told := false
+			reported := false
 			for _, f := range doc.Validate() {
-				told = told || f.Path == at && strings.Contains(f.Message, "isn't between")
+				reported = reported || f.Path == at && strings.Contains(f.Message, "isn't between")
 			}
-			if told != bad {
-				t.Errorf("%s = %d: told as a fault %t, the page says %s", at, value, told, r.bound)
+			if reported != bad {
+				t.Errorf("%s = %d: reported as a fault: %t, the page says %s", at, value, reported, r.bound)
 			}
 		}
 	}
 	is.New(t).Equal(tried, 14)
 }
 
-// number reads an end of a bound, a duration in nanoseconds.
+// number parses an end of a bound; a duration is in nanoseconds.
 func number(t *testing.T, text string) int64 {
 	if d, err := time.ParseDuration(text); err == nil {
 		return int64(d)
@@ -134,8 +135,8 @@
 	return n
 }
 
-// set sets the last element's field of a path such as rules[].ramp, and
-// returns the path with indices.
+// set sets the field of a path such as rules[].ramp in the last element of each
+// list, and returns the path with indices.
 func set(v reflect.Value, path string, value int64) string {
 	at := ""
 	for name := range strings.SplitSeq(path, ".") {
--- a/internal/core/document/size_test.go
+++ b/internal/core/document/size_test.go
@@ -9,7 +9,7 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// Sizes to design for.
+// Sizes of the largest document that the package is designed for.
 const (
 	sizeRegions  = 26
 	sizePlaces   = 75
@@ -18,8 +18,8 @@
 	sizeBlocks   = 7500
 )
 
-// fullSize returns a valid document of the size to design for: each service in
-// three places, with a rule from its first place to its second.
+// fullSize returns a valid document of the design size. Each service is in three
+// places and has a rule from its first place to its second.
 func fullSize() *document.Document {
 	d := &document.Document{Operators: []document.Operator{{Name: "trial", TokenSHA256: document.Digest([]byte("demo-token"))}}}
 	for i := range sizeRegions {
@@ -54,6 +54,8 @@
 	return d
 }
 
+// TestFullSize checks that a document of the design size is valid and takes less
+// than half of MaxTextBytes.
 func TestFullSize(t *testing.T) {
 	is := is.New(t)
 	text, err := document.Marshal(fullSize())
@@ -65,6 +67,7 @@
 	is.Equal(document.Diff(fullSize(), doc), nil)
 }
 
+// BenchmarkFullSize measures the operations on a document of the design size.
 func BenchmarkFullSize(b *testing.B) {
 	doc := fullSize()
 	text, err := document.Marshal(doc)
--- a/internal/core/document/text.go
+++ b/internal/core/document/text.go
@@ -12,12 +12,12 @@
 // yamlIndent is the number of spaces by which Marshal indents.
 const yamlIndent = 2
 
-// Parse reads a document and sets the defaults of the fields that are left out.
-// It doesn't validate. An error names lines and fields; it is a
-// *strictyaml.Error unless the text is longer than MaxTextBytes.
+// Parse reads a document and sets the defaults of omitted fields. It doesn't
+// validate. The error is a *strictyaml.Error, which names lines and fields, unless
+// the text is longer than MaxTextBytes.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxTextBytes {
-		return nil, fmt.Errorf("the document has %d bytes, more than %d", len(text), MaxTextBytes)
+		return nil, fmt.Errorf("the document has %d bytes; at most %d are allowed", len(text), MaxTextBytes)
 	}
 	doc := &Document{}
 	if err := strictyaml.Decode(text, doc); err != nil {
@@ -26,8 +26,8 @@
 	return doc, nil
 }
 
-// ParseValid reads and validates a document. An error of the validation is a
-// Faults, which wraps ErrInvalid.
+// ParseValid reads and validates a document. Errors are those of Parse and, from
+// the validation, Faults, which wraps ErrInvalid.
 func ParseValid(text []byte) (*Document, error) {
 	doc, err := Parse(text)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return doc, nil
 }
 
-// FaultsOf returns what is wrong with a text, whether it can't be read or has
-// faults; nil means that it is a valid document.
+// FaultsOf returns the faults of a text, those of reading it included; nil means
+// that the text is a valid document.
 func FaultsOf(text []byte) Faults {
 	_, err := ParseValid(text)
 	if err == nil {
@@ -60,12 +60,13 @@
 	return faults
 }
 
-// Marshal returns the document as YAML, with the defaults written out.
+// Marshal returns the document as YAML. Fields that have their default are written
+// too.
 func Marshal(doc *Document) ([]byte, error) {
 	return encode(doc)
 }
 
-// Digest returns the hex SHA-256 of a text.
+// Digest returns the lower-case hex SHA-256 of a text.
 func Digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
--- a/internal/core/document/validate.go
+++ b/internal/core/document/validate.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Validate returns all faults of the document at once, at most MaxFaults. It
-// takes time in proportion to the document's size, times the logarithm of the
-// number of client blocks.
+// Validate returns all faults of the document, at most MaxFaults. The time that it
+// takes is proportional to the document's size times the logarithm of the number
+// of client blocks, which are sorted.
 func (d *Document) Validate() Faults {
 	v := newValidator(d)
 	v.regions()
@@ -23,16 +23,17 @@
 	return v.faults
 }
 
-// validator collects faults over tables of what the document defines.
+// validator collects the faults of a document. Its maps index what the document
+// defines.
 type validator struct {
 	doc      *Document
 	faults   Faults
-	regionOf map[string]string   // place to region
-	region   map[string]bool     // names of regions
-	entryIn  map[string]string   // entry to place
+	regionOf map[string]string   // region by place
+	region   map[string]bool     // set of names
+	entryIn  map[string]string   // place by entry
 	service  map[string]*Service // by name
-	link     map[[2]string]*Link // by from and to
-	serves   map[[2]string]bool  // service and place
+	link     map[[2]string]*Link // by from and to region
+	serves   map[[2]string]bool  // set of service and place
 }
 
 func newValidator(d *Document) *validator {
@@ -67,20 +68,21 @@
 	return v
 }
 
+// fault adds a fault unless there are MaxFaults already.
 func (v *validator) fault(path, format string, args ...any) {
 	if len(v.faults) < MaxFaults {
 		v.faults = append(v.faults, Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 }
 
-// between reports a number that is out of its bounds.
+// between reports a number that is out of its inclusive bounds.
 func (v *validator) between(path string, value, low, high int64) {
 	if value < low || value > high {
 		v.fault(path, "%d isn't between %d and %d", value, low, high)
 	}
 }
 
-// duration reports a duration that is out of its bounds.
+// duration reports a duration that is out of its inclusive bounds.
 func (v *validator) duration(path string, value, low, high Duration) {
 	if value < low || value > high {
 		v.fault(path, "%v isn't between %v and %v", value.Std(), low.Std(), high.Std())
@@ -89,24 +91,26 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 
-// ValidName says whether text can be the name of anything in a document.
+// ValidName says whether text can be a name in a document: 1 to MaxNameBytes
+// letters a-z, digits and hyphens, with no hyphen at either end.
 func ValidName(text string) bool {
 	return len(text) <= MaxNameBytes && namePattern.MatchString(text)
 }
 
-// name reports a name that is malformed or was seen before.
+// name reports a name that is malformed or in seen.
 func (v *validator) name(path, name string, seen map[string]string) {
 	if !ValidName(name) {
-		v.fault(path, "%q isn't a name of 1 to %d letters a-z, digits and inner hyphens", name, MaxNameBytes)
+		v.fault(path, "%q isn't a name: 1 to %d letters a-z, digits and hyphens are allowed, with no hyphen at either end", name, MaxNameBytes)
 		return
 	}
-	v.once(path, name, seen)
+	v.unique(path, name, seen)
 }
 
-// once reports a value that was seen before and remembers it.
-func (v *validator) once(path, value string, seen map[string]string) {
+// unique reports a value that is in seen, which maps values to the paths of their
+// first use, and adds it otherwise.
+func (v *validator) unique(path, value string, seen map[string]string) {
 	if first, ok := seen[value]; ok {
-		v.fault(path, "%q stands already at %s", value, first)
+		v.fault(path, "%q is a duplicate of %s; it must be unique", value, first)
 		return
 	}
 	seen[value] = path
@@ -131,24 +135,26 @@
 		v.knownRegion(path+".from", l.From)
 		v.knownRegion(path+".to", l.To)
 		if l.From == l.To {
-			v.fault(path+".to", "a link joins two different regions")
+			v.fault(path+".to", "%q is also from; a link must connect two different regions", l.To)
 		}
-		v.once(path, l.From+" to "+l.To, seen)
+		v.unique(path, l.From+" to "+l.To, seen)
 		v.between(path+".mbit_per_s", int64(l.MbitPerS), MinMbitPerS, MaxMbitPerS)
 		v.between(path+".fill_percent", int64(l.FillPercent), 1, 100)
 	}
 }
 
+// knownRegion reports a name that isn't one of a region.
 func (v *validator) knownRegion(path, name string) {
 	if !v.region[name] {
-		v.fault(path, "no region is named %q", name)
+		v.fault(path, "no region is named %q; it must be listed in regions", name)
 	}
 }
 
+// knownPlace reports a name that isn't one of a place.
 func (v *validator) knownPlace(path, name string) bool {
 	_, ok := v.regionOf[name]
 	if !ok {
-		v.fault(path, "no place is named %q", name)
+		v.fault(path, "no place is named %q; it must be listed in places", name)
 	}
 	return ok
 }
@@ -168,8 +174,8 @@
 	}
 }
 
-// methods lists the HTTP methods of RFC 9110 and RFC 5789 that a request to an
-// endpoint may have.
+// methods lists the HTTP methods that a request to an endpoint may have: those of
+// RFC 9110 without CONNECT and TRACE, and PATCH of RFC 5789.
 var methods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
@@ -183,7 +189,7 @@
 			v.fault(at, "%q isn't one of %v", m, methods)
 			continue
 		}
-		v.once(at, m, seen)
+		v.unique(at, m, seen)
 	}
 }
 
@@ -195,7 +201,7 @@
 	for j, name := range s.Places {
 		at := fmt.Sprintf("%s.places[%d]", path, j)
 		if v.knownPlace(at, name) {
-			v.once(at, name, seen)
+			v.unique(at, name, seen)
 		}
 	}
 }
@@ -210,6 +216,6 @@
 	v.between(path+".request_bytes", s.RequestBytes, 1, MaxBodyBytesBound)
 	v.between(path+".answer_bytes", s.AnswerBytes, 1, MaxAnswerBytesBound)
 	if s.Connections < s.Slots {
-		v.fault(path+".connections", "%d connections can't fill %d slots: each carries one request at a time", s.Connections, s.Slots)
+		v.fault(path+".connections", "%d connections can't fill %d slots: each carries one request at a time, so there must be at least as many as slots", s.Connections, s.Slots)
 	}
 }
--- a/internal/core/document/validate_place.go
+++ b/internal/core/document/validate_place.go
@@ -18,11 +18,11 @@
 		path := fmt.Sprintf("places[%d]", i)
 		v.name(path+".name", p.Name, names)
 		if v.region[p.Name] {
-			v.fault(path+".name", "%q is also the name of a region", p.Name)
+			v.fault(path+".name", "%q is also the name of a region; places and regions must have different names", p.Name)
 		}
 		v.knownRegion(path+".region", p.Region)
 		if service, ok := used[p.Name]; ok && len(p.Entries) == 0 {
-			v.fault(path+".entries", "service %q has this place, so it needs at least one entry", service)
+			v.fault(path+".entries", "service %q has this place, so the place needs at least one entry", service)
 		}
 		for j, e := range p.Entries {
 			at := fmt.Sprintf("%s.entries[%d]", path, j)
@@ -33,7 +33,7 @@
 	}
 }
 
-// usedPlaces maps each place that a service has to the first such service.
+// usedPlaces maps each place that some service lists to the first such service.
 func (v *validator) usedPlaces() map[string]string {
 	used := make(map[string]string)
 	for _, s := range v.doc.Services {
@@ -46,42 +46,46 @@
 	return used
 }
 
-// CheckAddress returns why text isn't an IP:port that a VM can be reached at,
-// or an empty text when it is.
+// CheckAddress returns the reason why text isn't an IP:port at which one VM can be
+// reached, or an empty text when it is.
 func CheckAddress(text string) string {
 	address, err := netip.ParseAddrPort(text)
 	switch {
 	case err != nil:
-		return fmt.Sprintf("%q isn't IP:port", text)
+		return fmt.Sprintf("%q isn't IP:port such as 192.0.2.1:7100", text)
 	case address.Port() == 0:
-		return fmt.Sprintf("%q has port 0", text)
+		return fmt.Sprintf("%q has port 0; a port of 1 to 65535 is needed", text)
 	case address.Addr().IsUnspecified(), address.Addr().IsMulticast(), address.Addr().Zone() != "":
-		return fmt.Sprintf("%q isn't the address of one VM", text)
+		return fmt.Sprintf("%q isn't the address of one VM: unspecified and multicast addresses and zones aren't allowed", text)
 	default:
 		return ""
 	}
 }
 
+// address reports a text that isn't the address of one VM, or one that is in seen.
 func (v *validator) address(path, text string, seen map[string]string) {
 	if reason := CheckAddress(text); reason != "" {
 		v.fault(path, "%s", reason)
 		return
 	}
-	v.once(path, netip.MustParseAddrPort(text).String(), seen)
+	v.unique(path, netip.MustParseAddrPort(text).String(), seen)
 }
 
-// clientBlock is a client block and where it stands.
+// clientBlock is a client block with the index of its place and its index among
+// the place's blocks.
 type clientBlock struct {
-	prefix      netip.Prefix
-	place, nth  int
-	placeOfName string
+	prefix            netip.Prefix
+	placeIndex, index int
+	placeName         string
 }
 
-func (b clientBlock) path() string { return fmt.Sprintf("places[%d].clients[%d]", b.place, b.nth) }
+func (b clientBlock) path() string {
+	return fmt.Sprintf("places[%d].clients[%d]", b.placeIndex, b.index)
+}
 
-// clients reports malformed blocks, equal blocks, and blocks of different
-// places that overlap. Sorted by address and length, the blocks that hold a
-// block are those of a stack, so each block is compared with its holders only.
+// clients reports malformed blocks, duplicate blocks, and overlapping blocks of
+// different places. When the blocks are sorted by address and prefix length, those
+// that enclose a block form a stack, so each block is compared only with these.
 func (v *validator) clients() {
 	blocks := v.clientBlocks()
 	slices.SortStableFunc(blocks, func(a, b clientBlock) int {
@@ -90,28 +94,29 @@
 		}
 		return a.prefix.Bits() - b.prefix.Bits()
 	})
-	var holders []clientBlock
+	var enclosing []clientBlock
 	for _, b := range blocks {
-		for len(holders) > 0 && !holders[len(holders)-1].prefix.Overlaps(b.prefix) {
-			holders = holders[:len(holders)-1]
+		for len(enclosing) > 0 && !enclosing[len(enclosing)-1].prefix.Overlaps(b.prefix) {
+			enclosing = enclosing[:len(enclosing)-1]
 		}
-		v.clientOverlap(b, holders)
-		holders = append(holders, b)
+		v.clientOverlap(b, enclosing)
+		enclosing = append(enclosing, b)
 	}
 }
 
+// clientBlocks returns the well-formed blocks and reports the others.
 func (v *validator) clientBlocks() []clientBlock {
 	var blocks []clientBlock
 	for i, p := range v.doc.Places {
 		for j, text := range p.Clients {
-			b := clientBlock{place: i, nth: j, placeOfName: p.Name}
+			b := clientBlock{placeIndex: i, index: j, placeName: p.Name}
 			prefix, err := netip.ParsePrefix(text)
 			if err != nil {
 				v.fault(b.path(), "%q isn't a client block such as 10.1.0.0/16", text)
 				continue
 			}
 			if prefix != prefix.Masked() {
-				v.fault(b.path(), "%s has bits after its length; %s is the block", text, prefix.Masked())
+				v.fault(b.path(), "%s has bits set after its prefix length; %s is the block", text, prefix.Masked())
 				continue
 			}
 			b.prefix = prefix
@@ -121,15 +126,17 @@
 	return blocks
 }
 
-func (v *validator) clientOverlap(b clientBlock, holders []clientBlock) {
-	for k := len(holders) - 1; k >= 0; k-- {
-		h := holders[k]
-		if h.place != b.place {
-			v.fault(b.path(), "%s overlaps %s of place %q at %s", b.prefix, h.prefix, h.placeOfName, h.path())
+// clientOverlap compares a block with those that enclose it, the smallest first,
+// and reports at most one fault.
+func (v *validator) clientOverlap(b clientBlock, enclosing []clientBlock) {
+	for k := len(enclosing) - 1; k >= 0; k-- {
+		outer := enclosing[k]
+		if outer.placeIndex != b.placeIndex {
+			v.fault(b.path(), "%s overlaps %s of place %q at %s; blocks of different places must not overlap", b.prefix, outer.prefix, outer.placeName, outer.path())
 			return
 		}
-		if h.prefix == b.prefix {
-			v.fault(b.path(), "%s stands already at %s", b.prefix, h.path())
+		if outer.prefix == b.prefix {
+			v.fault(b.path(), "%s is a duplicate of %s; it must be unique", b.prefix, outer.path())
 			return
 		}
 	}
--- a/internal/core/document/validate_rule.go
+++ b/internal/core/document/validate_rule.go
@@ -16,25 +16,25 @@
 		if r.Service != "" && v.service[r.Service] == nil {
 			v.fault(path+".service", "no service is named %q", r.Service)
 		}
-		from := v.knownEnd(path+".from", r.From)
-		to := v.knownEnd(path+".to", r.To)
+		from := v.endRegion(path+".from", r.From)
+		to := v.endRegion(path+".to", r.To)
 		if r.From == r.To {
-			v.fault(path+".to", "a rule joins two different places or regions")
+			v.fault(path+".to", "%q is also from; a rule must connect two different places or regions", r.To)
 		}
-		v.once(path, strings.TrimSpace(r.Service+" from "+r.From+" to "+r.To), shifts)
+		v.unique(path, strings.TrimSpace(r.Service+" from "+r.From+" to "+r.To), shifts)
 		v.between(path+".requests_per_s", int64(r.RequestsPerS), 1, MaxRequestsPerS)
 		v.duration(path+".ramp", r.Ramp, 0, Duration(MaxRamp))
 		v.shares(path, r)
 		if from != "" && to != "" && from != to {
-			v.capUnderLink(path, r, from, to)
+			v.checkLinks(path, r, from, to)
 		}
 	}
 }
 
-// knownEnd returns the region of a rule's end, which names a place or a region,
-// and reports a name that is neither. A place in an unknown region, which is
-// reported there, has none.
-func (v *validator) knownEnd(path, name string) string {
+// endRegion returns the region of a rule's end, which names a place or a region. It
+// reports a name that is neither and returns an empty text then, and also for a
+// place in an unknown region, which is reported at the place.
+func (v *validator) endRegion(path, name string) string {
 	if v.region[name] {
 		return name
 	}
@@ -44,10 +44,12 @@
 		}
 		return region
 	}
-	v.fault(path, "no place or region is named %q", name)
+	v.fault(path, "no place or region is named %q; it must be listed in places or regions", name)
 	return ""
 }
 
+// shares reports shares of unknown entries and of entries outside the destination,
+// duplicates, percentages out of bounds, and shares that don't add up to 100.
 func (v *validator) shares(path string, r *Rule) {
 	if len(r.Shares) == 0 {
 		return
@@ -59,33 +61,36 @@
 		place, ok := v.entryIn[share.Entry]
 		switch {
 		case !ok:
-			v.fault(at+".entry", "no entry is named %q", share.Entry)
+			v.fault(at+".entry", "no entry is named %q; it must be listed in the entries of a place", share.Entry)
 		case place != r.To && v.regionOf[place] != r.To:
-			v.fault(at+".entry", "%q isn't an entry of %q", share.Entry, r.To)
+			v.fault(at+".entry", "%q isn't an entry of %q, the destination of the rule", share.Entry, r.To)
 		default:
-			v.once(at+".entry", share.Entry, seen)
+			v.unique(at+".entry", share.Entry, seen)
 		}
 		v.between(at+".percent", int64(share.Percent), 1, 100)
 		sum += share.Percent
 	}
 	if sum != 100 {
-		v.fault(path+".shares", "the shares add up to %d percent, not 100", sum)
+		v.fault(path+".shares", "the shares add up to %d percent; they must add up to 100", sum)
 	}
 }
 
-// capUnderLink reports a cap that can't be reached on the links that the shift
-// crosses: requests on the way there, answers on the way back. The sum of all
-// caps may be above a link, whose own budget bounds them together.
-func (v *validator) capUnderLink(path string, r *Rule, from, to string) {
-	requestBytes, answerBytes := v.sizes(r)
-	v.fitsLink(path, r, requestBytes, from, to)
-	v.fitsLink(path, r, answerBytes, to, from)
+// checkLinks reports a cap that needs more than the usable bandwidth of the links
+// between two regions: requests use the link to the destination, answers the one
+// back. The sum of several caps may be above a link, whose budget bounds them
+// together.
+func (v *validator) checkLinks(path string, r *Rule, from, to string) {
+	requestBytes, answerBytes := v.messageSizes(r)
+	v.checkLink(path, r, requestBytes, from, to)
+	v.checkLink(path, r, answerBytes, to, from)
 }
 
-func (v *validator) fitsLink(path string, r *Rule, bytes int64, from, to string) {
+// checkLink reports a cap that needs more than the usable bandwidth of one link, or
+// a missing link.
+func (v *validator) checkLink(path string, r *Rule, bytes int64, from, to string) {
 	link := v.link[[2]string{from, to}]
 	if link == nil {
-		v.fault(path+".to", "there is no link from region %q to region %q", from, to)
+		v.fault(path+".to", "there is no link from region %q to region %q; a rule between regions needs one in each direction", from, to)
 		return
 	}
 	need := mbitPerS(r.RequestsPerS, bytes)
@@ -95,9 +100,9 @@
 	}
 }
 
-// sizes returns the expected bytes of a request and an answer that the rule
-// moves: those of its service, or the largest of all services.
-func (v *validator) sizes(r *Rule) (request, answer int64) {
+// messageSizes returns the expected bytes of a request and of an answer that the
+// rule moves: those of its service, or else the largest of all services.
+func (v *validator) messageSizes(r *Rule) (request, answer int64) {
 	if s := v.service[r.Service]; s != nil {
 		return s.RequestBytes, s.AnswerBytes
 	}
@@ -108,7 +113,8 @@
 	return request, answer
 }
 
-// UsableMbitPerS returns the megabits per second that steering may use.
+// UsableMbitPerS returns the megabits per second of the link that steering may
+// use.
 func (l *Link) UsableMbitPerS() float64 {
 	return float64(l.MbitPerS) * float64(l.FillPercent) / 100
 }
@@ -121,18 +127,18 @@
 		if drain.Service != "" && v.service[drain.Service] == nil {
 			v.fault(path+".service", "no service is named %q", drain.Service)
 		} else if known && drain.Service != "" && !v.serves[[2]string{drain.Service, drain.Place}] {
-			v.fault(path+".service", "service %q isn't in place %q", drain.Service, drain.Place)
+			v.fault(path+".service", "service %q isn't in place %q; only a place that the service lists can be drained for it", drain.Service, drain.Place)
 		}
 		if drain.Reason == "" || len(drain.Reason) > MaxReasonBytes {
-			v.fault(path+".reason", "a reason of 1 to %d bytes is needed", MaxReasonBytes)
+			v.fault(path+".reason", "a reason of 1 to %d bytes is needed, got %d bytes", MaxReasonBytes, len(drain.Reason))
 		}
-		v.once(path, strings.TrimSpace(drain.Place+" "+drain.Service), seen)
+		v.unique(path, strings.TrimSpace(drain.Place+" "+drain.Service), seen)
 	}
 	v.drainedServices()
 }
 
-// drainedServices reports services that the drains leave without a place, at
-// the last drain that takes one away.
+// drainedServices reports services all of whose places are drained, at the drain
+// that excludes the last of them.
 func (v *validator) drainedServices() {
 	last := make(map[[2]string]int, len(v.doc.Drains))
 	for i, drain := range v.doc.Drains {
@@ -154,7 +160,7 @@
 			at = max(at, all)
 		}
 		if at >= 0 {
-			v.fault(fmt.Sprintf("drains[%d].place", at), "the drains leave service %q without any place", s.Name)
+			v.fault(fmt.Sprintf("drains[%d].place", at), "the drains leave service %q without any place; at least one must not be drained", s.Name)
 		}
 	}
 }
@@ -169,14 +175,14 @@
 		path := fmt.Sprintf("operators[%d]", i)
 		v.name(path+".name", o.Name, names)
 		if !ValidTokenHash(o.TokenSHA256) {
-			v.fault(path+".token_sha256", "the lower-case hex SHA-256 of a token that isn't empty is needed")
+			v.fault(path+".token_sha256", "the lower-case hex SHA-256 (64 digits) of a token that isn't empty is needed")
 			continue
 		}
-		v.once(path+".token_sha256", o.TokenSHA256, hashes)
+		v.unique(path+".token_sha256", o.TokenSHA256, hashes)
 	}
 }
 
-// sha256HexBytes is the length of a SHA-256 in hex.
+// sha256HexBytes is the number of hex digits of a SHA-256.
 const sha256HexBytes = 64
 
 // ValidTokenHash says whether text is the lower-case hex SHA-256 of a token that
