--- a/internal/core/strictyaml/decode.go
+++ b/internal/core/strictyaml/decode.go
@@ -13,12 +13,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Problem is one reason why a text can't be read.
+// Problem is one reason why a text can't be decoded.
 type Problem struct {
-	// Line is the line in the text, from 1; 0 when it isn't known.
+	// Line is the line in the text, counted from 1; 0 means unknown.
 	Line int
-	// Field is the path of the field, such as services[1].slots; it is empty
-	// when the text isn't YAML at all.
+	// Field is the path of the field, such as services[1].slots. It is empty
+	// when no field begins on the line or the text isn't YAML.
 	Field string
 	// Message says what is wrong.
 	Message string
@@ -36,10 +36,10 @@
 	return text
 }
 
-// MaxProblems bounds the problems that one error holds.
+// MaxProblems bounds the number of problems in one Error.
 const MaxProblems = 1000
 
-// Error holds the problems that were found in a text.
+// Error lists the problems of a text.
 type Error struct {
 	// Problems has 1 to MaxProblems elements.
 	Problems []Problem
@@ -54,14 +54,14 @@
 	return strings.Join(lines, "; ")
 }
 
-// Decode reads one YAML document into out, a pointer to a struct. The error is
-// an *Error.
+// Decode decodes a text of exactly one YAML document into out, a pointer to a
+// struct. The error is an *Error.
 func Decode(text []byte, out any) error {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
 	err := decoder.Decode(out)
 	if errors.Is(err, io.EOF) {
-		return &Error{Problems: []Problem{{Line: 1, Message: "the text is empty"}}}
+		return &Error{Problems: []Problem{{Line: 1, Message: "the text is empty; one YAML document is needed"}}}
 	}
 	if err != nil {
 		return explain(text, err, reflect.TypeOf(out).Elem())
@@ -74,19 +74,22 @@
 	if err != nil {
 		return explain(text, err, reflect.TypeOf(out).Elem())
 	}
-	return &Error{Problems: []Problem{{Line: rest.Line, Message: "a second document follows the first"}}}
+	return &Error{Problems: []Problem{{Line: rest.Line, Message: "a second document begins here; only one is allowed"}}}
 }
 
+// Patterns of the messages of the YAML library.
 var (
 	linePrefix   = regexp.MustCompile(`^(?:yaml: )?line (\d+): (.*)$`)
 	unknownField = regexp.MustCompile(`^field (\S+) not found in type \S+$`)
-	doubleKey    = regexp.MustCompile(`^mapping key "(.*)" already defined`)
-	// parserError matches the errors for which the library counts lines from 0.
+	duplicateKey = regexp.MustCompile(`^mapping key "(.*)" already defined`)
+	// parserError matches the messages in which the library counts lines from 0
+	// instead of 1.
 	parserError = regexp.MustCompile(`^did not find expected (<.*>|node content|key|'-' indicator|',' or '.')$`)
 	wrongType   = regexp.MustCompile("^cannot unmarshal !!(\\w+)(?: `(?s:(.*))`)? into (\\S+)$")
 )
 
-// explain turns an error of the YAML library into an *Error with paths.
+// explain converts an error of the YAML library into an *Error with paths. At most
+// MaxProblems are kept.
 func explain(text []byte, err error, target reflect.Type) *Error {
 	messages := []string{err.Error()}
 	var typeError *yaml.TypeError
@@ -102,6 +105,8 @@
 	return &Error{Problems: problems}
 }
 
+// explainOne converts one message of the YAML library. An unrecognized message is
+// kept, with the path of the first field on its line.
 func explainOne(index *Index, message string) Problem {
 	p := Problem{Message: strings.TrimPrefix(message, "yaml: ")}
 	if m := linePrefix.FindStringSubmatch(message); m != nil {
@@ -109,16 +114,16 @@
 		p.Message = m[2]
 	}
 	if m := unknownField.FindStringSubmatch(p.Message); m != nil {
-		p.Field = index.key(p.Line, m[1])
+		p.Field = index.keyPath(p.Line, m[1])
 		p.Message = "unknown field"
 		return p
 	}
-	if m := doubleKey.FindStringSubmatch(p.Message); m != nil {
-		p.Field = index.key(p.Line, m[1])
+	if m := duplicateKey.FindStringSubmatch(p.Message); m != nil {
+		p.Field = index.keyPath(p.Line, m[1])
 		return p
 	}
 	if m := wrongType.FindStringSubmatch(p.Message); m != nil {
-		p.Field = index.value(p.Line, m[1], m[2], m[3])
+		p.Field = index.valuePath(p.Line, m[1], m[2], m[3])
 		p.Message = fmt.Sprintf("%s is wanted, got %s", kindName(m[3]), yamlName(m[1]))
 		if m[2] != "" {
 			p.Message += fmt.Sprintf(" %q", m[2])
@@ -126,13 +131,13 @@
 		return p
 	}
 	if parserError.MatchString(p.Message) {
-		p.Line = min(p.Line+1, index.last)
+		p.Line = min(p.Line+1, index.lastLine)
 	}
-	p.Field = index.first(p.Line)
+	p.Field = index.firstPath(p.Line)
 	return p
 }
 
-// kindName names a Go type in the words of YAML.
+// kindName returns the name of a Go type for the author of a YAML text.
 func kindName(goType string) string {
 	switch {
 	case strings.HasPrefix(goType, "[]"):
@@ -152,7 +157,7 @@
 	}
 }
 
-// yamlName names a short YAML tag.
+// yamlName returns the name of a short YAML tag without its "!!".
 func yamlName(tag string) string {
 	switch tag {
 	case "str":
--- a/internal/core/strictyaml/decode_test.go
+++ b/internal/core/strictyaml/decode_test.go
@@ -22,9 +22,11 @@
 	On    bool   `yaml:"on"`
 }
 
+// TestDecodeRefuses guards against texts that are accepted although the types don't
+// define them, and against problems without their line and path.
 func TestDecodeRefuses(t *testing.T) {
 	cases := []struct{ name, text, want string }{
-		{"empty", "", "line 1: the text is empty"},
+		{"empty", "", "line 1: the text is empty; one YAML document is needed"},
 		{"unknown field", "items:\n- name: a\n  colour: red\n", "line 3: items[0].colour: unknown field"},
 		{"unknown field at the top", "extra: 1\n", "line 1: extra: unknown field"},
 		{"number", "items:\n- name: a\n- {name: b, count: many}\n", `line 3: items[1].count: a whole number is wanted, got text "many"`},
@@ -35,7 +37,7 @@
 		{"same value twice", "items:\n- {name: x, count: x}\n", `line 2: items[0].count: a whole number is wanted, got text "x"`},
 		{"flag", "on: 3\n", `line 1: on: true or false is wanted, got the number "3"`},
 		{"twice", "on: true\non: false\n", `line 2: on: mapping key "on" already defined at line 1`},
-		{"second document", "on: true\n---\non: false\n", "line 2: a second document follows the first"},
+		{"second document", "on: true\n---\non: false\n", "line 2: a second document begins here; only one is allowed"},
 		{"open list", "on: true\nitems: [\non: false\n", "line 2: did not find expected ',' or ']'"},
 		{"open list on the first line", "items: [", "line 1: did not find expected node content"},
 		{"bad character", "on: true\nitems: @\n", "line 2: found character that cannot start any token"},
@@ -52,6 +54,8 @@
 	}
 }
 
+// TestIndexLine checks the line of a field, and that of the nearest parent for a
+// field that isn't in the text.
 func TestIndexLine(t *testing.T) {
 	is := is.New(t)
 	index := strictyaml.NewIndex([]byte("on: true\nitems:\n- name: a\n- name: b\n"))
@@ -60,7 +64,8 @@
 	is.Equal(index.Line("missing"), 1)
 }
 
-// TestManyProblems reads a text with a problem on each of its 5,000 lines.
+// TestManyProblems guards against an error that grows with the text: it decodes
+// 5,000 lines with a problem each and expects the first MaxProblems.
 func TestManyProblems(t *testing.T) {
 	is := is.New(t)
 	var text strings.Builder
--- a/internal/core/strictyaml/doc.go
+++ b/internal/core/strictyaml/doc.go
@@ -1,6 +1,6 @@
-// Package strictyaml reads YAML into typed structs and refuses whatever the
-// types don't know: unknown fields, wrong types, a field that is given twice, a
-// second document. Each problem names its line and the path of its field, which
-// the YAML library alone does only in part. The document and the settings of
-// the roles are read with it.
+// Package strictyaml decodes YAML into typed structs and rejects whatever the types
+// don't define: unknown fields, values of another type, duplicate fields and a
+// second document. Each problem has its line and the path of its field; the YAML
+// library gives the line of most problems but no path. The operators' document and
+// the settings files of the roles are decoded with it.
 package strictyaml
--- a/internal/core/strictyaml/index.go
+++ b/internal/core/strictyaml/index.go
@@ -9,29 +9,30 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Index knows the line of each field of a text.
+// Index maps the fields of a text to their lines.
 type Index struct {
-	// spots holds the fields that begin on a line or whose value does.
-	spots map[int][]spot
-	// lines holds the line of each path, last the number of lines.
-	lines map[string]int
-	last  int
+	// byLine holds the fields whose key or value begins on a line.
+	byLine map[int][]position
+	// lines maps each path to its line; lastLine is the number of lines.
+	lines    map[string]int
+	lastLine int
 }
 
-// spot is one field or list element.
-type spot struct {
+// position is the place in the text of one field or list element.
+type position struct {
 	keyLine, valueLine int
 	key, value, path   string
 	tag, goType        string
 }
 
-// NewIndex returns the index of a text. A text that isn't YAML has an empty one.
+// NewIndex returns the index of a text. It is empty for a text that isn't YAML.
 func NewIndex(text []byte) *Index { return newIndex(text, nil) }
 
-// newIndex also knows the Go type of each field when the text's is given.
+// newIndex also records the Go type of each field when target, the type of the
+// whole text, isn't nil.
 func newIndex(text []byte, target reflect.Type) *Index {
-	index := &Index{spots: make(map[int][]spot), lines: make(map[string]int), last: 1}
-	index.last += bytes.Count(bytes.TrimRight(text, "\n"), []byte("\n"))
+	index := &Index{byLine: make(map[int][]position), lines: make(map[string]int), lastLine: 1}
+	index.lastLine += bytes.Count(bytes.TrimRight(text, "\n"), []byte("\n"))
 	var root yaml.Node
 	if yaml.Unmarshal(text, &root) != nil || len(root.Content) == 0 {
 		return index
@@ -40,8 +41,8 @@
 	return index
 }
 
-// Line returns the line of a field such as services[1].slots, that of its
-// nearest parent when the field itself isn't in the text, and 1 otherwise.
+// Line returns the line of a field such as services[1].slots. For a field that
+// isn't in the text it returns the line of the nearest parent that is, or else 1.
 func (x *Index) Line(path string) int {
 	for path != "" {
 		if line, ok := x.lines[path]; ok {
@@ -52,6 +53,7 @@
 	return 1
 }
 
+// walk adds the children of a node. A nil type is unknown.
 func (x *Index) walk(path string, n *yaml.Node, t reflect.Type) {
 	switch n.Kind {
 	case yaml.MappingNode:
@@ -70,14 +72,15 @@
 	}
 }
 
+// add adds a field or list element and its children.
 func (x *Index) add(key, value *yaml.Node, path string, t reflect.Type) {
-	s := spot{keyLine: key.Line, valueLine: value.Line, key: key.Value, value: value.Value, path: path, tag: value.ShortTag()}
+	s := position{keyLine: key.Line, valueLine: value.Line, key: key.Value, value: value.Value, path: path, tag: value.ShortTag()}
 	if t != nil {
 		s.goType = t.String()
 	}
-	x.spots[s.keyLine] = append(x.spots[s.keyLine], s)
+	x.byLine[s.keyLine] = append(x.byLine[s.keyLine], s)
 	if s.valueLine != s.keyLine {
-		x.spots[s.valueLine] = append(x.spots[s.valueLine], s)
+		x.byLine[s.valueLine] = append(x.byLine[s.valueLine], s)
 	}
 	if _, ok := x.lines[path]; !ok {
 		x.lines[path] = key.Line
@@ -85,7 +88,7 @@
 	x.walk(path, value, t)
 }
 
-// fieldType returns the type of a struct's field by its name in YAML, or nil.
+// fieldType returns the type of the struct field with the YAML name, or nil.
 func fieldType(t reflect.Type, name string) reflect.Type {
 	if t == nil || t.Kind() != reflect.Struct {
 		return nil
@@ -99,7 +102,7 @@
 	return nil
 }
 
-// elementType returns the type of a slice's elements, or nil.
+// elementType returns the type of the elements of a slice, or nil.
 func elementType(t reflect.Type) reflect.Type {
 	if t == nil || t.Kind() != reflect.Slice {
 		return nil
@@ -107,10 +110,11 @@
 	return t.Elem()
 }
 
-// key returns the path of the last field on the line that has the name.
-func (x *Index) key(line int, name string) string {
+// keyPath returns the path of the last field on the line that has the name, or the
+// name itself.
+func (x *Index) keyPath(line int, name string) string {
 	found := name
-	for _, s := range x.spots[line] {
+	for _, s := range x.byLine[line] {
 		if s.keyLine == line && s.key == name {
 			found = s.path
 		}
@@ -118,23 +122,25 @@
 	return found
 }
 
-// value returns the path of the field on the line that has the tag, the value
-// as a message shows it, perhaps cut short with dots, and the Go type; without
-// one, the line's first field.
-func (x *Index) value(line int, tag, shown, goType string) string {
-	prefix := strings.TrimSuffix(shown, "...")
-	for _, s := range x.spots[line] {
-		alike := s.tag == "!!"+tag && strings.HasPrefix(s.value, prefix) && strings.EqualFold(s.goType, goType)
-		if s.valueLine == line && alike {
+// valuePath returns the path of the first field whose value is on the line and has
+// the tag, the Go type and the value of a message, which the library may have
+// truncated with dots. Without such a field it returns the path of the line's first
+// field.
+func (x *Index) valuePath(line int, tag, shownValue, goType string) string {
+	prefix := strings.TrimSuffix(shownValue, "...")
+	for _, s := range x.byLine[line] {
+		matches := s.tag == "!!"+tag && strings.HasPrefix(s.value, prefix) && strings.EqualFold(s.goType, goType)
+		if s.valueLine == line && matches {
 			return s.path
 		}
 	}
-	return x.first(line)
+	return x.firstPath(line)
 }
 
-// first returns the path of the first field that begins on the line.
-func (x *Index) first(line int) string {
-	for _, s := range x.spots[line] {
+// firstPath returns the path of the first field whose key is on the line, or an
+// empty text.
+func (x *Index) firstPath(line int) string {
+	for _, s := range x.byLine[line] {
 		if s.keyLine == line {
 			return s.path
 		}
