--- a/internal/event/catalogue_test.go
+++ b/internal/event/catalogue_test.go
@@ -11,7 +11,8 @@
 	"sassafrasreach/internal/event"
 )
 
-// TestCatalogueMatchesPage keeps docs/EVENTS.md and the code alike.
+// TestCatalogueMatchesPage guards against a docs/EVENTS.md that differs from the
+// catalogue.
 func TestCatalogueMatchesPage(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/EVENTS.md")
@@ -29,12 +30,13 @@
 	is.Equal(strings.Join(got, "\n"), strings.Join(want, "\n"))
 }
 
-// TestNumbersRise wants each number once, in order.
-func TestNumbersRise(t *testing.T) {
+// TestNumbersIncrease guards against an event number that is used twice or out of
+// order.
+func TestNumbersIncrease(t *testing.T) {
 	last := 0
 	for _, e := range event.Catalogue {
 		if e.Number <= last {
-			t.Errorf("event %d after %d", e.Number, last)
+			t.Errorf("event %d is listed after event %d", e.Number, last)
 		}
 		last = e.Number
 	}
