--- a/internal/app/control/cluster_test.go
+++ b/internal/app/control/cluster_test.go
@@ -39,8 +39,8 @@
 type event struct {
 	kind     kind
 	from, to int
-	// answer says that the message is the answer, which travels from the member
-	// to back to the member from.
+	// answer marks the answer to a message. It travels in the opposite
+	// direction; from and to remain those of the message that it answers.
 	answer bool
 	// value says that the message carries a value of the register.
 	value bool
--- a/internal/app/control/faults_test.go
+++ b/internal/app/control/faults_test.go
@@ -481,8 +481,8 @@
 }
 
 // TestFailedDiskStopsTheMember guards against answers from a member whose state
-// could not be saved: its Run must return the disk's error, and so must every
-// message of the register and every fetch.
+// could not be saved: its Run must return the disk's error, and so must later
+// messages of the register and fetches.
 func TestFailedDiskStopsTheMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
