--- a/internal/app/control/cluster_test.go
+++ b/internal/app/control/cluster_test.go
@@ -237,7 +237,7 @@
 	c.start(i, c.t.TempDir())
 }
 
-// end stops every start of every member, crashed ones included.
+// end stops the nodes of all starts, crashed ones included, and waits for them.
 func (c *cluster) end() {
 	c.mu.Lock()
 	all := c.all
--- a/internal/app/control/entries.go
+++ b/internal/app/control/entries.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// quorumReadMaxAge is how long after a quorum read Fetch still reports a quorum.
+	// quorumReadMaxAge is how long after the start of a quorum read Fetch still
+	// reports a quorum.
 	quorumReadMaxAge = time.Second
 	// reportRetention is how long an entry's last report is kept.
 	reportRetention = 10 * time.Minute
--- a/internal/app/control/entries_test.go
+++ b/internal/app/control/entries_test.go
@@ -83,8 +83,8 @@
 	})
 }
 
-// TestMessagesOfAChange guards against a change that sends more messages, or more
-// copies of the document, to other members than expected.
+// TestMessagesOfAChange guards against a change that exchanges more messages, or
+// sends more copies of the document, than expected.
 func TestMessagesOfAChange(t *testing.T) {
 	for members, want := range map[int]int{3: 12, 5: 24} {
 		inBubble(t, members, func(t *testing.T, c *cluster) {
--- a/internal/app/control/keepup.go
+++ b/internal/app/control/keepup.go
@@ -19,8 +19,9 @@
 )
 
 // runAntiEntropy queries the members periodically, so that a stale member learns
-// the newest chosen value. When the proposer of an accepted value has given up, it
-// makes a quorum accept that value again, which shows whether it is chosen.
+// the newest chosen value. When it assumes that the proposer of an accepted value
+// has given up, it makes a quorum accept the newest value again, so that this value
+// is known to be chosen.
 func (n *Node) runAntiEntropy(ctx context.Context) {
 	stalled := 0
 	for {
--- a/internal/app/control/operate.go
+++ b/internal/app/control/operate.go
@@ -40,8 +40,8 @@
 }
 
 // newest reads the newest chosen value through a quorum; nil means that the
-// register is empty. Without a query round that shows a chosen value it makes a
-// quorum accept the value again.
+// register is empty. When none of readTries query rounds shows a chosen value, it
+// makes a quorum accept the newest value again.
 func (n *Node) newest(ctx context.Context) (*register.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/app/control/propose.go
+++ b/internal/app/control/propose.go
@@ -16,11 +16,12 @@
 	MaxDocumentBytes = 4 << 20
 	// submitTimeout bounds Submit when its context has no earlier deadline.
 	submitTimeout = 10 * time.Second
-	// backoffDoublings is the number of times that the backoff window doubles at
-	// most.
+	// backoffDoublings is the largest number of times that the backoff window
+	// doubles.
 	backoffDoublings = 4
-	// backoffMin is the least length of the first window, and backoffMax the
-	// greatest of any, from which the pause before another attempt is drawn.
+	// The pause before another attempt is drawn from the backoff window.
+	// backoffMin is the minimum length of the first window, and backoffMax the
+	// maximum length of every window.
 	backoffMin = 20 * time.Millisecond
 	backoffMax = 2 * time.Second
 )
@@ -88,7 +89,8 @@
 
 // propose makes attempts with increasing ballots until one succeeds, decide
 // returns an error, the node fails or ctx ends. When the error isn't nil, the flag
-// says whether a value that decide returned may have been chosen or may still be.
+// says whether a value that decide returned may have been chosen or may still
+// become chosen.
 func (n *Node) propose(ctx context.Context, decide register.Decide) (port.Outcome, bool, error) {
 	select {
 	case n.proposeSem <- struct{}{}:
--- a/internal/app/control/state.go
+++ b/internal/app/control/state.go
@@ -72,7 +72,8 @@
 // reset replaces the state by one that doesn't vote, marked as damaged or as new.
 // The value that the member knows to be chosen remains valid and is kept. The
 // state record is saved before the value record: a crash between the two must not
-// leave a folder whose state still votes. The caller must hold mu or be New.
+// leave a folder whose state still votes. A folder without a value record holds no
+// usable state until that record is saved too. The caller must hold mu or be New.
 func (n *Node) reset(damaged bool) error {
 	nonce, err := newNonce()
 	if err != nil {
--- a/internal/core/document/diff.go
+++ b/internal/core/document/diff.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// diffList compares the elements of two lists that have the same identity.
+// diffList compares two lists, whose elements it matches by their identity.
 func diffList(out *[]Difference, path string, old, new reflect.Value) {
 	before := make(map[string]int, old.Len())
 	for i := range old.Len() {
@@ -82,8 +82,8 @@
 	}
 }
 
-// identity returns the text that identifies an element within its list: its field
-// Name, for elements that have one.
+// identity returns the text that identifies an element within its list. It is the
+// field Name for types that have one.
 func identity(v reflect.Value) string {
 	switch e := v.Interface().(type) {
 	case Link:
--- a/internal/core/document/edit.go
+++ b/internal/core/document/edit.go
@@ -12,7 +12,8 @@
 
 // ReplaceDrains returns the text of a document with its drains replaced. Comments
 // and the order of all other fields are kept; blank lines and indentation are not.
-// The error wraps ErrInvalid when the text is YAML but not a mapping.
+// The error wraps ErrInvalid when the text is empty or its top level isn't a
+// mapping.
 func ReplaceDrains(text []byte, drains []Drain) ([]byte, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
--- a/internal/core/document/fault.go
+++ b/internal/core/document/fault.go
@@ -11,10 +11,10 @@
 
 // Fault is one error in a document.
 type Fault struct {
-	// Path names the field, such as services[1].places[0]. It is empty when
-	// the fault concerns the text as a whole.
+	// Path names the field, such as services[1].places[0]. It is empty when no
+	// field is known, as for a syntax error or a text that is too long.
 	Path string `json:"path"`
-	// Message says what is wrong and what would be right.
+	// Message says what is wrong and, for most faults, what is allowed.
 	Message string `json:"message"`
 }
 
--- a/internal/core/document/moves.go
+++ b/internal/core/document/moves.go
@@ -14,8 +14,8 @@
 	Ways []Way `json:"ways"`
 }
 
-// Way is a rule that permits traffic to shift, with the bandwidth that its cap
-// needs on the link between the regions.
+// Way is a rule that permits traffic to shift, with the bandwidth that the answers
+// need at its cap on the link between the regions.
 type Way struct {
 	// Rule and To name the rule and its destination.
 	Rule string `json:"rule"`
@@ -87,7 +87,8 @@
 	return ways
 }
 
-// mbitPerS returns the megabits per second of messages of a size.
+// mbitPerS returns the bandwidth of requestsPerS messages per second of the given
+// size, in megabits per second.
 func mbitPerS(requestsPerS int, bytes int64) float64 {
 	return float64(requestsPerS) * float64(bytes) * 8 / bitsPerMbit
 }
--- a/internal/core/document/text.go
+++ b/internal/core/document/text.go
@@ -60,8 +60,8 @@
 	return faults
 }
 
-// Marshal returns the document as YAML. Fields that have their default are written
-// too.
+// Marshal returns the document as YAML. Fields whose value is their default are
+// written too.
 func Marshal(doc *Document) ([]byte, error) {
 	return encode(doc)
 }
--- a/internal/core/document/validate.go
+++ b/internal/core/document/validate.go
@@ -143,14 +143,14 @@
 	}
 }
 
-// knownRegion reports a name that isn't one of a region.
+// knownRegion reports a name that no region has.
 func (v *validator) knownRegion(path, name string) {
 	if !v.region[name] {
 		v.fault(path, "no region is named %q; it must be listed in regions", name)
 	}
 }
 
-// knownPlace reports a name that isn't one of a place.
+// knownPlace reports a name that no place has, and says whether a place has it.
 func (v *validator) knownPlace(path, name string) bool {
 	_, ok := v.regionOf[name]
 	if !ok {
--- a/internal/core/document/validate_place.go
+++ b/internal/core/document/validate_place.go
@@ -56,7 +56,7 @@
 	case address.Port() == 0:
 		return fmt.Sprintf("%q has port 0; a port of 1 to 65535 is needed", text)
 	case address.Addr().IsUnspecified(), address.Addr().IsMulticast(), address.Addr().Zone() != "":
-		return fmt.Sprintf("%q isn't the address of one VM: unspecified and multicast addresses and zones aren't allowed", text)
+		return fmt.Sprintf("%q isn't the address of one VM: unspecified and multicast addresses and IPv6 zones aren't allowed", text)
 	default:
 		return ""
 	}
--- a/internal/core/document/validate_rule.go
+++ b/internal/core/document/validate_rule.go
@@ -77,8 +77,8 @@
 
 // checkLinks reports a cap that needs more than the usable bandwidth of the links
 // between two regions: requests use the link to the destination, answers the one
-// back. The sum of several caps may be above a link, whose budget bounds them
-// together.
+// back. The caps of several rules may together need more than a link has; the
+// link's budget bounds their traffic.
 func (v *validator) checkLinks(path string, r *Rule, from, to string) {
 	requestBytes, answerBytes := v.messageSizes(r)
 	v.checkLink(path, r, requestBytes, from, to)
--- a/internal/core/document/validate_test.go
+++ b/internal/core/document/validate_test.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// expectFaults checks the faults of a text against TestFaults' notation.
+// expectFaults checks that a text has exactly the faults in want, written as in
+// TestFaults.
 func expectFaults(t *testing.T, text string, want []string) {
 	t.Helper()
 	is := is.New(t)
--- a/internal/core/strictyaml/decode.go
+++ b/internal/core/strictyaml/decode.go
@@ -18,7 +18,7 @@
 	// Line is the line in the text, counted from 1; 0 means unknown.
 	Line int
 	// Field is the path of the field, such as services[1].slots. It is empty
-	// when no field begins on the line or the text isn't YAML.
+	// when no field is known, for instance because the text isn't YAML.
 	Field string
 	// Message says what is wrong.
 	Message string
@@ -137,7 +137,7 @@
 	return p
 }
 
-// kindName returns the name of a Go type for the author of a YAML text.
+// kindName describes the YAML values that a Go type accepts, for messages.
 func kindName(goType string) string {
 	switch {
 	case strings.HasPrefix(goType, "[]"):
@@ -157,7 +157,8 @@
 	}
 }
 
-// yamlName returns the name of a short YAML tag without its "!!".
+// yamlName describes a YAML tag, given in short form without its "!!", for
+// messages.
 func yamlName(tag string) string {
 	switch tag {
 	case "str":
--- a/internal/core/strictyaml/index.go
+++ b/internal/core/strictyaml/index.go
@@ -18,7 +18,7 @@
 	lastLine int
 }
 
-// position is the place in the text of one field or list element.
+// position is one field or list element with its lines in the text.
 type position struct {
 	keyLine, valueLine int
 	key, value, path   string
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -4,7 +4,7 @@
 
 // Events of every daemon: 1000 to 1099.
 var (
-	Started     = Event{1000, "started", slog.LevelInfo, "The process started; attributes give its role and name, and others by role, such as its incarnation."}
+	Started     = Event{1000, "started", slog.LevelInfo, "The process started; attributes give its role and name, and others that depend on the role, such as an entry's incarnation."}
 	Listening   = Event{1001, "listening", slog.LevelInfo, "A listener is open."}
 	StopBegun   = Event{1002, "stop-begun", slog.LevelInfo, "A planned stop began: look-ups no longer return this entry, or this gateway reports that it isn't ready."}
 	Stopped     = Event{1003, "stopped", slog.LevelInfo, "The process ends; attributes of an entry give the drain time and the number of requests cut off."}
