--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every target runs from a fresh clone; the tools are pinned in tools/go.mod.
+# Every target works in a fresh clone. The tools are pinned in tools/go.mod.
 BIN := bin
 GO ?= go
 TOOL = $(GO) tool -modfile=tools/go.mod
@@ -10,8 +10,9 @@
 build:
 	$(GO) build -o $(BIN)/sassafrasreach ./cmd/sassafrasreach
 
-# The main job: control and entry processes on loopback, stand-in endpoints,
-# one document and a request of each kind through them.
+# Demonstrates the main use case: it starts control and entry processes and
+# stand-in endpoints on loopback, applies one document and sends a request of each
+# kind.
 demo: build
 	./scripts/demo.sh
 
@@ -27,8 +28,8 @@
 lint:
 	$(TOOL) golangci-lint run --allow-parallel-runners ./...
 
-# The tests of the whole system run real processes; they come after the others,
-# so that both have the machine to themselves.
+# The tests of the whole system run real processes. They run after the other
+# tests, so that the two don't compete for the machine.
 unit:
 	GO=$(GO) ./scripts/unit.sh
 	$(GO) test -race -parallel 6 -timeout 20m ./internal/systemtest
@@ -40,14 +41,15 @@
 generate-check:
 	./scripts/generate-check.sh
 
-# Load and faults on real processes at today's size: one after the other, then
-# every pair at once. Then random faults on gateways and controllers, with seeds
-# that weren't played before.
+# Runs real processes under load and faults, at the size of one user's deployment:
+# first one fault after the other, then pairs of faults at once. Then it injects
+# random faults into gateways and controllers, with new seeds on each run.
 soak: build
 	SOAK_SECONDS=90 $(GO) test -v -count=1 -timeout 10m -run TestSoak ./internal/systemtest
 	SOAK_SECONDS=40 SOAK_SEEDS=3 SOAK_FIRST=$$(date +%s) $(GO) test -v -count=1 -timeout 10m -run 'TestFleetSoak$$' ./platform
 
-# Prints the measurements that the docs cite and writes docs/MEASUREMENTS.md.
+# Prints the measurements that the docs cite and writes them to
+# docs/MEASUREMENTS.md.
 measure: build
 	$(GO) run ./internal/measure/cmd/measure -commit $$(git rev-parse --short HEAD) -out docs/MEASUREMENTS.md
 	$(GO) run ./internal/measure/controlcost -append docs/MEASUREMENTS.md
--- a/cmd/sassafrasreach/main.go
+++ b/cmd/sassafrasreach/main.go
@@ -1,5 +1,6 @@
-// Command sassafrasreach steers requests from callers to endpoints across
-// failure domains and regions.
+// Command sassafrasreach runs the processes of a system that steers requests from
+// callers to endpoints across failure domains and regions, and its tools for
+// operators and callers.
 package main
 
 import (
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# The main job on loopback: 3 control VMs, 2 entries in each of 2 places, 2
-# stand-in endpoints in each place; one document, one idempotent and one
-# once-only request through an entry that doesn't own the group.
+# Demonstrates the main use case on loopback with 3 control VMs, 2 entries in
+# each of 2 places, and 2 stand-in endpoints in each place. It applies one
+# document and sends one idempotent and one once-only request through an entry
+# that doesn't own the group of endpoints.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=bin/sassafrasreach
@@ -22,13 +23,14 @@
   pids+=($!)
 }
 
-# wait_for TEXT SECONDS COMMAND...: until the command succeeds.
+# wait_for TEXT SECONDS COMMAND... repeats the command until it succeeds. After
+# the given number of seconds it prints the ends of the logs and fails.
 wait_for() {
   local what=$1 limit=$((SECONDS + $2))
   shift 2
   until "$@" >/dev/null 2>&1; do
     if ((SECONDS >= limit)); then
-      echo "demo: no $what in time; logs follow" >&2
+      echo "demo: timed out waiting for $what; the ends of the logs follow" >&2
       tail -n 5 "$work"/*.log >&2
       exit 1
     fi
@@ -87,27 +89,27 @@
 done
 
 entries=127.0.10.1:18080,127.0.10.2:18080
-echo "== look up"
+echo "== look up the entries of belt-control"
 wait_for "entry for belt-control" 20 "$bin" call -entry "$entries" -service belt-control -place norte-a
 "$bin" lookup -entry "$entries" -service belt-control -place norte-a
 
-# The look-up names the owner of the group first; another entry of the place
-# has to pass the request on.
+# The look-up lists the owner of the group first. Another entry of the place
+# has to forward the request to it.
 owner=$("$bin" lookup -entry "$entries" -service belt-control -place norte-a | sed -n 's/.*"name": "\(.*\)".*/\1/p' | head -n 1)
 other=norte-a-1
 if [ "$owner" = norte-a-1 ]; then other=norte-a-2; fi
 
-echo "== an idempotent request through $other, while $owner owns the group"
+echo "== send an idempotent request through $other, while $owner owns the group"
 "$bin" call -entry "$entries" -service belt-control -place norte-a -via $other -path /belts/7
 
-echo "== a once-only request through $other, and the same key again"
+echo "== send a once-only request through $other, and resend it with the same key"
 first=$("$bin" call -entry "$entries" -service belt-control -place norte-a -via $other -once -method POST -path /belts/7/divert -body bin-3)
 echo "$first"
 key=$(echo "$first" | sed -n 's/^key *//p')
 again=$("$bin" call -entry "$entries" -service belt-control -place norte-a -method POST -path /belts/7/divert -body bin-3 -key "$key")
 echo "$again"
 if [ "$(echo "$first" | tail -n 1)" != "$(echo "$again" | tail -n 1)" ]; then
-  echo "demo: the resend got another answer" >&2
+  echo "demo: the answer to the resend differs from the first answer" >&2
   exit 1
 fi
 echo "== done"
--- a/scripts/generate-check.sh
+++ b/scripts/generate-check.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Fails when the committed generated code differs from what the .proto files give.
+# Fails when the committed generated code differs from the code that is generated
+# from the .proto files.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 fresh=$(mktemp -d)
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Generates Go code from the .proto files under api/ into the folder named by
-# the first argument. Needs no protoc: buf runs the pinned local plugins.
+# the first argument. It needs no protoc, since buf runs the pinned local plugins.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=${1:?usage: generate.sh OUT}
--- a/scripts/unit.sh
+++ b/scripts/unit.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Runs the tests of all packages but those of the whole system, which run real
-# processes and come later. Tests that
-# KNOWN-RED.txt lists as "PACKAGE TEST: ..." don't decide; they run after the
-# others, and what they gave is printed.
+# Runs all tests except those of the whole system, which run real processes:
+# package systemtest and the tests named TestFleetSoak... The Makefile runs these
+# afterwards. Tests that KNOWN-RED.txt lists as "PACKAGE TEST: ..." run after the
+# others; their output is printed, and their failures are ignored.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 GO=${GO:-go}
@@ -19,6 +19,6 @@
 done
 while read -r package test; do
   [ -n "$package" ] || continue
-  echo "known red: $package $test"
+  echo "known failing test of KNOWN-RED.txt: $package $test"
   $GO test -race -run "^$test\$" "./$package" || true
 done <<<"$red"
