--- a/internal/systemtest/caller_test.go
+++ b/internal/systemtest/caller_test.go
@@ -15,10 +15,10 @@
 	"sassafrasreach/internal/port"
 )
 
-// callTimeout is the time that a caller gives a request.
+// callTimeout is the usual timeout of a request.
 const callTimeout = 2 * time.Second
 
-// result is what a caller learned of one request.
+// result is the outcome of one request at its caller.
 type result struct {
 	status  int
 	verdict string
@@ -28,8 +28,9 @@
 	took    time.Duration
 }
 
-// whole says whether the caller has the whole answer to its own request.
-func (r result) whole(body string) bool {
+// complete reports whether the caller received the complete answer to its own
+// request.
+func (r result) complete(body string) bool {
 	return r.err == nil && r.status == 200 && strings.HasPrefix(r.body, body)
 }
 
@@ -48,12 +49,13 @@
 	return addresses
 }
 
-// client has no connections from before, as a caller that is careful.
+// client returns an HTTP client without connection reuse, so that no request
+// uses a connection that a fault has silenced.
 func client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout + 500*time.Millisecond}
 }
 
-// lookupAt asks one entry.
+// lookupAt sends a look-up to one entry, with a timeout of 500 ms.
 func (s *system) lookupAt(entry, place string) (port.LookupAnswer, error) {
 	var answer port.LookupAnswer
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
@@ -74,11 +76,12 @@
 	return answer, json.NewDecoder(response.Body).Decode(&answer)
 }
 
-// lookup asks the entries of the place in turn, first the one that answered
-// last, and at last those of other places.
+// lookup sends a look-up to one entry after the other until one answers: first
+// the entry that answered last, then those of the place, then those of all
+// places.
 func (s *system) lookup(place string) (answer port.LookupAnswer, err error) {
 	s.mu.Lock()
-	entries := append([]string{s.good[place]}, s.entriesOf(place)...)
+	entries := append([]string{s.lastEntry[place]}, s.entriesOf(place)...)
 	s.mu.Unlock()
 	for i := range s.doc.Places {
 		entries = append(entries, s.entriesOf(s.doc.Places[i].Name)...)
@@ -90,7 +93,7 @@
 		answer, err = s.lookupAt(entry, place)
 		if err == nil {
 			s.mu.Lock()
-			s.good[place] = entry
+			s.lastEntry[place] = entry
 			s.mu.Unlock()
 			return answer, nil
 		}
@@ -112,7 +115,7 @@
 	}
 	request.Header.Set("Sassafrasreach-Timeout-Ms", strconv.FormatInt(timeout.Milliseconds(), 10))
 	request.Header.Set("Sassafrasreach-Place", place)
-	request.Header.Set("X-Caller-Place", place) // carried to the endpoint
+	request.Header.Set("X-Caller-Place", place) // forwarded to the endpoint
 	if key != "" {
 		request.Header.Set("Sassafrasreach-Key", key)
 	}
@@ -137,8 +140,8 @@
 	return r
 }
 
-// get looks up and sends an idempotent request; entries that can't be reached
-// are passed over, as a caller does.
+// get looks up the entries and sends an idempotent request to the first of them.
+// If the connection to it fails, get tries the second one, as a caller does.
 func (s *system) get(place, body string) result {
 	answer, err := s.lookup(place)
 	if err != nil {
@@ -154,7 +157,8 @@
 	return r
 }
 
-// post looks up, and sends a once-only request to the first entry.
+// post looks up the entries and sends a once-only request with a new key to the
+// first of them.
 func (s *system) post(place, body string) (key string, r result) {
 	answer, err := s.lookup(place)
 	if err != nil {
--- a/internal/systemtest/config_test.go
+++ b/internal/systemtest/config_test.go
@@ -15,8 +15,10 @@
 	"sassafrasreach/internal/port"
 )
 
-// TestRefusedChanges follows changes that are refused, by a race and by faults,
-// and a lifted quarantine, from the client's output to the audit trail.
+// TestRefusedChanges guards against refused changes that are reported
+// incompletely or missing from the audit trail. One change loses a race against
+// another operator and one has validation faults. The test also checks the audit
+// record of a lifted quarantine.
 func TestRefusedChanges(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -40,15 +42,15 @@
 	}
 	wg.Wait()
 	is.Equal(codes[0]+codes[1], 1) // one is accepted (0), the other refused (1)
-	won, lost := 0, 1
+	winner, loser := 0, 1
 	if codes[0] != 0 {
-		won, lost = 1, 0
+		winner, loser = 1, 0
 	}
 	digest := s.status().Digest
 	for _, part := range []string{
-		"conflict: ", fmt.Sprintf("version %d", base+1), digest[:12], "made by " + operators[won], "nothing was changed",
+		"conflict: ", fmt.Sprintf("version %d", base+1), digest[:12], "made by " + operators[winner], "nothing was changed",
 	} {
-		is.True(strings.Contains(outs[lost], part)) // part
+		is.True(strings.Contains(outs[loser], part)) // part
 	}
 
 	faulty := *s.doc
@@ -59,12 +61,12 @@
 	is.NoErr(err)
 	code, out := s.ctl("apply", s.write("faulty.yaml", string(text)))
 	is.Equal(code, 1)
-	for _, fault := range document.FaultsOf(text) { // all at once
+	for _, fault := range document.FaultsOf(text) { // the client reports all of them
 		is.True(strings.Contains(out, "faulty.yaml: "+fault.String()+"\n")) // fault
 	}
 	is.True(strings.Contains(out, "places[1].region: "))
 	is.True(strings.Contains(out, "drains[0].place: "))
-	is.Equal(s.put(base+1, "faulty", string(text)), http.StatusUnprocessableEntity) // past the client's own check
+	is.Equal(s.put(base+1, "faulty", string(text)), http.StatusUnprocessableEntity) // sent without the client, which validates too
 
 	fingerprint := document.Digest([]byte("a request"))
 	code, _ = s.ctl("lift", "-change-id", "lift", fingerprint)
@@ -78,14 +80,15 @@
 	for _, a := range trail {
 		got[a.ChangeID] = fmt.Sprint(a.Operator, " ", a.State, " ", a.From, " ", a.To, " ", !a.Time.IsZero())
 	}
-	is.Equal(got["of-"+operators[won]], fmt.Sprint(operators[won], " accepted ", base, " ", base+1, " true"))
-	is.Equal(got["of-"+operators[lost]], fmt.Sprint(operators[lost], " conflict ", base, " ", base+1, " true"))
+	is.Equal(got["of-"+operators[winner]], fmt.Sprint(operators[winner], " accepted ", base, " ", base+1, " true"))
+	is.Equal(got["of-"+operators[loser]], fmt.Sprint(operators[loser], " conflict ", base, " ", base+1, " true"))
 	is.Equal(got["faulty"], fmt.Sprint("tester invalid ", base+1, " ", base+1, " true"))
 	is.Equal(got["lift"], fmt.Sprint("tester lifted ", base+1, " ", base+1, " true"))
 	is.Equal(trail[len(trail)-1].Digest, fingerprint)
 }
 
-// put sends a document without the client and returns the status.
+// put sends a document to a control VM without the client and returns the HTTP
+// status code.
 func (s *system) put(base uint64, changeID, text string) int {
 	target := fmt.Sprintf("%s/v1/document?base=%d", s.control(1), base)
 	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodPut, target, strings.NewReader(text))
--- a/internal/systemtest/endpoint_test.go
+++ b/internal/systemtest/endpoint_test.go
@@ -18,21 +18,22 @@
 	"sassafrasreach/internal/port"
 )
 
-// runs counts how often each request body ran, at any endpoint.
+// runs counts the executions of each request at all endpoints, by body and URI,
+// and those that were moved to another place.
 type runs struct {
 	mu     sync.Mutex
 	counts map[string]int
 	moved  []move
 }
 
-// move is a run outside the place of its caller.
+// move is an execution outside the place of its caller.
 type move struct {
 	from, to string
 	at       time.Time
 }
 
-// noteMove records a run of a request from another place.
-func (r *runs) noteMove(from, to string) {
+// recordMove records the execution of a request from another place.
+func (r *runs) recordMove(from, to string) {
 	if from == to || from == "" {
 		return
 	}
@@ -41,9 +42,9 @@
 	r.moved = append(r.moved, move{from, to, time.Now()})
 }
 
-// mostMoved returns the highest number of moves that match within any window of
-// one second.
-func (r *runs) mostMoved(match func(from, to string) bool) int {
+// maxMovedPerSecond returns the highest number of matching moves within any
+// window of one second.
+func (r *runs) maxMovedPerSecond(match func(from, to string) bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var window []time.Time
@@ -67,38 +68,39 @@
 	r.counts[body]++
 }
 
-func (r *runs) of(body string) int {
+func (r *runs) count(body string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[body]
 }
 
-// endpoint is a worker in the test process. Its answer is its request's body.
+// endpoint is a worker in the test process. It answers a request with its body
+// and URI.
 type endpoint struct {
 	t       *testing.T
 	runs    *runs
 	service string
 	place   string
 	id      string
-	listen  string // where it listens
-	front   string // where the mesh exposes it
+	listen  string // address on which it listens
+	front   string // address at which the mesh exposes it
 	entries []string
 	slots   int
 	work    time.Duration
 
-	mu          sync.Mutex
-	incarnation uint64
-	sequence    uint64
-	state       port.EndpointState
-	served      int
-	muted       bool
-	learned     []string // entries that the last answer named
-	server      *http.Server
-	cancel      context.CancelFunc
-	slot        chan struct{}
+	mu                  sync.Mutex
+	incarnation         uint64
+	sequence            uint64
+	state               port.EndpointState
+	served              int
+	announcementsPaused bool
+	learnedEntries      []string // entries named in the last answer to an announcement
+	server              *http.Server
+	cancel              context.CancelFunc
+	slot                chan struct{}
 }
 
-// announcePeriod is shorter than real endpoints' to keep tests short.
+// announcePeriod is shorter than that of real endpoints to keep tests short.
 const announcePeriod = 250 * time.Millisecond
 
 func (e *endpoint) start() {
@@ -121,8 +123,8 @@
 	e.t.Cleanup(e.crash)
 }
 
-// crash ends the endpoint's process as the system sees it: its connections
-// break and nothing listens there any more.
+// crash simulates the end of the endpoint's process: its connections break and
+// nothing listens on its address any more.
 func (e *endpoint) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,7 +132,7 @@
 	_ = e.server.Close()
 }
 
-// setWork changes the time that a request takes.
+// setWork sets the processing time of a request.
 func (e *endpoint) setWork(work time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,10 +144,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.entries = entries
-	e.learned = nil
+	e.learnedEntries = nil
 }
 
-// leave says that the endpoint takes no new work.
+// leave announces that the endpoint takes no new requests.
 func (e *endpoint) leave() {
 	e.mu.Lock()
 	e.state = port.EndpointLeaving
@@ -169,17 +171,17 @@
 	}
 }
 
-// mute stops or resumes the announcements.
-func (e *endpoint) mute(muted bool) {
+// pauseAnnouncements stops or resumes the periodic announcements.
+func (e *endpoint) pauseAnnouncements(muted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.muted = muted
+	e.announcementsPaused = muted
 }
 
-// announce reports to the first entry that answers.
+// announce sends an announcement to its entries in turn until one accepts it.
 func (e *endpoint) announce() {
 	e.mu.Lock()
-	if e.muted && e.state != port.EndpointLeaving {
+	if e.announcementsPaused && e.state != port.EndpointLeaving {
 		e.mu.Unlock()
 		return
 	}
@@ -194,7 +196,7 @@
 	client := http.Client{Timeout: 300 * time.Millisecond}
 	defer client.CloseIdleConnections()
 	e.mu.Lock()
-	entries := append(slices.Clone(e.entries), e.learned...)
+	entries := append(slices.Clone(e.entries), e.learnedEntries...)
 	e.mu.Unlock()
 	for _, entry := range entries {
 		request, _ := http.NewRequest(http.MethodPut, "http://"+entry+"/v1/endpoints/"+e.id, bytes.NewReader(body))
@@ -207,7 +209,7 @@
 		_ = response.Body.Close()
 		if response.StatusCode == http.StatusOK && err == nil {
 			e.mu.Lock()
-			e.learned = answer.Entries
+			e.learnedEntries = answer.Entries
 			e.mu.Unlock()
 			return
 		}
@@ -231,7 +233,7 @@
 	}
 	text := string(body) + r.URL.RequestURI()
 	e.runs.add(text)
-	e.runs.noteMove(r.Header.Get("X-Caller-Place"), e.place)
+	e.runs.recordMove(r.Header.Get("X-Caller-Place"), e.place)
 	e.mu.Lock()
 	e.served++
 	work := e.work
@@ -240,8 +242,8 @@
 		e.crash()
 		return
 	}
-	if strings.HasPrefix(string(body), "drop") && e.runs.of(text) == 1 {
-		panic(http.ErrAbortHandler) // it ran, and its answer is lost
+	if strings.HasPrefix(string(body), "drop") && e.runs.count(text) == 1 {
+		panic(http.ErrAbortHandler) // it has run, and its answer is lost
 	}
 	time.Sleep(work)
 	_, _ = fmt.Fprint(w, text)
--- a/internal/systemtest/fault_test.go
+++ b/internal/systemtest/fault_test.go
@@ -13,11 +13,11 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// control returns the operators' URL of one control VM.
+// control returns the URL at which one control VM serves operators.
 func (s *system) control(n int) string { return "http://" + s.ip(kindControl, n) + ":18090" }
 
-// submit applies a variant of the document at one control VM and waits until
-// it is decided. The output tells the outcome.
+// submit applies a variant of the document at one control VM and waits until the
+// change is decided. It returns the client's exit code and output.
 func (s *system) submit(n int, base uint64, changeID, variant string, flags ...string) (code int, out string) {
 	doc := *s.doc
 	doc.Drains = []document.Drain{{Place: "north-b", Reason: variant}}
@@ -33,8 +33,8 @@
 	return s.ctlAt(s.control(n), append(append(args, flags...), path)...)
 }
 
-// watchVersions notes every version that an entry's look-ups carry, and fails
-// the test when one goes back. Call the result to stop.
+// watchVersions polls the document versions in the entries' look-up answers and
+// fails the test when a version decreases. Call stop to end it.
 func (s *system) watchVersions(entries []string) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -49,7 +49,7 @@
 				}
 				version := s.lookupVersion(name)
 				if version > 0 && version < highest {
-					s.t.Errorf("%s went back from version %d to %d", name, highest, version)
+					s.t.Errorf("%s returned version %d and then the older version %d", name, highest, version)
 				}
 				highest = max(highest, version)
 			}
@@ -61,8 +61,10 @@
 	}
 }
 
-// TestOperatorsRace lets two operators apply from the same version at two
-// control VMs, again and again.
+// TestOperatorsRace guards against two changes that are both accepted on the
+// same base version. In each of 10 rounds, two operators apply a change at two
+// control VMs at the same time. Exactly one may be accepted, and a retry at a
+// third control VM must return the first outcome.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -84,49 +86,51 @@
 		is.Equal(won.Version, base+1)
 		for n := range 2 {
 			is.True(strings.Contains(outs[n], fmt.Sprintf("version %d", won.Version)))
-			is.True(strings.Contains(outs[n], won.Digest[:12])) // the loser is told what won
+			is.True(strings.Contains(outs[n], won.Digest[:12])) // both outputs name the accepted change
 			id := fmt.Sprintf("change-%d-%d", round, n)
 			code, out := s.submit(3, base, id, fmt.Sprintf("race%d-%d", round, n))
-			is.Equal(code, codes[n]) // a resend gets its first outcome at another VM
+			is.Equal(code, codes[n]) // a retry at another VM returns the first outcome
 			is.True(strings.Contains(out, won.Digest[:12]))
 		}
 	}
 	code, out := s.ctl("audit")
-	is.Equal(code, 0) // the chain of the audit trail holds
+	is.Equal(code, 0) // the hash chain of the audit trail is valid
 	is.True(strings.Contains(out, "change-9-1"))
 }
 
-// TestControlIsolated cuts one control VM off while it believes to be a member
-// like any other. It accepts nothing, and afterwards has what the others have.
+// TestControlIsolated guards against a control VM that accepts changes without a
+// quorum. One control VM is partitioned from the others: it must accept nothing
+// and must catch up with the others when the partition ends.
 func TestControlIsolated(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newSystem(t, twoRegions())
 	stop := s.watchVersions(s.allEntries())
-	s.mesh.set(func(src, dst string) bool {
+	s.mesh.setRule(func(src, dst string) bool {
 		return (src == "control-1") != (dst == "control-1") && src != "" && dst != ""
 	})
 	base := s.status().Version
 	code, _ := s.submit(1, base, "isolated", "isolated")
-	is.Equal(code, 3) // may have been accepted, or no quorum; never accepted
+	is.Equal(code, 3) // outcome unknown or no quorum; never 0 for accepted
 	for i := range 5 {
 		code, out := s.submit(2, base+uint64(i), fmt.Sprintf("others-%d", i), fmt.Sprintf("others%d", i))
 		is.Equal(code, 0)
 		is.True(strings.Contains(out, fmt.Sprintf("version %d", base+uint64(i)+1)))
 	}
-	s.inForce(base+5, s.allEntries())
+	s.awaitInForce(base+5, s.allEntries())
 	s.mesh.heal()
 	s.eventually("the isolated control VM has the newest version", func() bool {
 		code, out := s.ctlAt(s.control(1), "get")
 		return code == 0 && strings.Contains(out, "others4")
 	})
 	code, _ = s.submit(1, base, "isolated", "isolated")
-	is.Equal(code, 1) // another change took its version
+	is.Equal(code, 1) // another change has taken that version
 	stop()
 }
 
-// TestRestartedEntryIsCurrent restarts an entry that missed versions. It never
-// serves an older one than was in force before.
+// TestRestartedEntryIsCurrent guards against a restarted entry that serves an
+// old document. Three times, the entry is killed and misses a version; the first
+// version that it serves after the restart must be the newest one.
 func TestRestartedEntryIsCurrent(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -148,8 +152,9 @@
 	}
 }
 
-// TestFreezeDuringHandOver freezes an entry at moments of its planned stop. Its
-// keys are answered as before, and run once.
+// TestFreezeDuringHandOver guards against keys that are executed twice or get
+// false verdicts because an entry is frozen during its planned stop. It freezes
+// the owner for 3 s at three different times after the stop began.
 func TestFreezeDuringHandOver(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, twoRegions())
@@ -170,10 +175,10 @@
 		if err := p.wait(25 * time.Second); err != nil {
 			t.Errorf("stop of %s: %v", owner, err)
 		}
-		sum := s.judge(running.finish())
+		sum := s.verify(running.finish())
 		t.Logf("frozen %v after the stop began: %+v", wait, sum)
-		if sum.broken() > 0 {
-			t.Errorf("broken promises: %+v", sum)
+		if sum.violations() > 0 {
+			t.Errorf("violated guarantees: %+v", sum)
 		}
 		p.start()
 		s.eventually(owner+" serves again", func() bool { return s.lookupVersion(owner) > 0 })
@@ -181,18 +186,19 @@
 	}
 }
 
-// TestCutDuringDrain cuts the drained place off before it knows of the drain.
-// It serves its own callers on, and leaves after the cut.
+// TestCutDuringDrain partitions a place before it receives its own drain. The
+// place must keep serving its own callers, and must be drained once the
+// partition ends.
 func TestCutDuringDrain(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, twoRegions())
 	running := s.startLoad("north-b")
-	s.mesh.set(betweenPlaces("north-b"))
+	s.mesh.setRule(isolatePlace("north-b"))
 	s.doc.Drains = []document.Drain{{Place: "north-b", Reason: "trial"}}
 	s.flowApply(s.entriesIn("north-a", "south-a"))
 	s.flowIdempotent("north-b")
 	s.mesh.heal()
-	s.inForce(s.status().Version, s.allEntries())
+	s.awaitInForce(s.status().Version, s.allEntries())
 	s.eventually("the drained place gets no work", func() bool {
 		before := s.servedIn("north-b")
 		for range batch {
@@ -200,13 +206,14 @@
 		}
 		return s.servedIn("north-b") == before
 	})
-	if sum := s.judge(running.finish()); sum.broken() > 0 {
-		t.Errorf("broken promises: %+v", sum)
+	if sum := s.verify(running.finish()); sum.violations() > 0 {
+		t.Errorf("violated guarantees: %+v", sum)
 	}
 }
 
-// TestCrashingRequest sends a request that ends every endpoint that runs it,
-// through all entries, and by callers that try again.
+// TestCrashingRequest guards against a request that crashes one endpoint after
+// the other because entries and callers retry it. It is sent through all entries
+// in 8 rounds; quarantine must limit it to two executions.
 func TestCrashingRequest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -222,10 +229,10 @@
 			}
 		}
 		if round == 0 {
-			is.True(s.runs.of("crash/x") <= 2)
+			is.True(s.runs.count("crash/x") <= 2)
 		}
 	}
-	is.True(s.runs.of("crash/x") <= 2) // at most two endpoint incarnations died
+	is.True(s.runs.count("crash/x") <= 2) // at most two endpoint incarnations crashed
 	is.True(refused > 0)
 	var listed []string
 	s.eventually("the quarantine in the operators' status", func() bool {
@@ -235,7 +242,7 @@
 		return len(listed) > 0
 	})
 	code, out := s.ctl("lift", listed[0])
-	is.Equal(code, 0) // operators can lift it
+	is.Equal(code, 0) // operators can lift the quarantine
 	s.eventually("lifted everywhere: "+out, func() bool {
 		for _, entry := range s.status().Entries {
 			if len(entry.Quarantined) > 0 {
@@ -247,36 +254,39 @@
 	s.flowIdempotent("south-a")
 }
 
-// TestLostAnswers loses the answer of each request's first run. A once-only
-// request isn't run again, through whichever entry it is resent; an idempotent
-// one is, and its caller gets the answer.
+// TestLostAnswers guards against a second execution of a once-only request whose
+// answer was lost. The endpoint breaks the connection after the first execution
+// of each request. Retries of a once-only request through any entry must not run
+// it again; an idempotent request must be retried and its caller must get the
+// answer.
 func TestLostAnswers(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, twoRegions())
 	for range batch {
 		body := s.unique("drop")
 		key, first := s.post("north-a", body)
-		told := []result{first}
+		results := []result{first}
 		for _, entry := range s.entriesOf("south-a") {
-			told = append(told, s.send(entry, "north-a", "POST", key, body))
+			results = append(results, s.send(entry, "north-a", "POST", key, body))
 		}
-		for _, r := range told {
+		for _, r := range results {
 			if r.verdict != "may-have-run" {
-				t.Errorf("once-only request told %q %s", r.verdict, r.reason)
+				t.Errorf("once-only request got verdict %q, reason %q", r.verdict, r.reason)
 			}
 		}
-		if runs := s.runs.of(body + "/x"); runs != 1 {
+		if runs := s.runs.count(body + "/x"); runs != 1 {
 			t.Errorf("once-only request ran %d times", runs)
 		}
 	}
 	body := s.unique("drop")
-	if r := s.get("north-b", body); !r.whole(body) {
-		t.Errorf("idempotent request got %d %s", r.status, r.reason)
+	if r := s.get("north-b", body); !r.complete(body) {
+		t.Errorf("idempotent request got status %d, reason %q", r.status, r.reason)
 	}
 }
 
-// TestSecondSignal ends a planned stop early: the entry says how many requests
-// it cut off.
+// TestSecondSignal sends a second SIGTERM during a planned stop. The entry must
+// exit without waiting for its request in flight, and log how many requests it
+// cut off.
 func TestSecondSignal(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -286,23 +296,26 @@
 		e.setWork(4 * time.Second)
 	}
 	def, _ := s.doc.EntryByName(name)
-	told := make(chan result, 1)
-	go func() { told <- s.sendWithin(def.Caller, "south-a", "POST", s.keyAt("south-a"), "slow", 5*time.Second) }()
-	s.eventually("the slow request runs", func() bool { return s.runs.of("slow/x") == 1 })
+	results := make(chan result, 1)
+	go func() {
+		results <- s.sendWithin(def.Caller, "south-a", "POST", s.keyAt("south-a"), "slow", 5*time.Second)
+	}()
+	s.eventually("the slow request runs", func() bool { return s.runs.count("slow/x") == 1 })
 	p := s.entries[name]
 	p.stop()
 	time.Sleep(200 * time.Millisecond)
 	begun := time.Now()
 	p.stop()
 	is.NoErr(p.wait(5 * time.Second))
-	is.True(time.Since(begun) < 3*time.Second) // it didn't wait for the request
+	is.True(time.Since(begun) < 3*time.Second) // the entry didn't wait for the request
 	is.True(strings.Contains(p.text(), `"msg":"stop-forced"`))
 	is.True(strings.Contains(p.text(), `"cut_off":1`))
-	r := <-told
-	is.True(r.err != nil || r.verdict == "may-have-run") // never told that it did not run
+	r := <-results
+	is.True(r.err != nil || r.verdict == "may-have-run") // never the verdict not-run
 }
 
-// keyAt returns a new key from a look-up.
+// keyAt returns a new once-only key, which starts with the home that a look-up
+// returned.
 func (s *system) keyAt(place string) string {
 	answer, err := s.lookup(place)
 	if err != nil {
--- a/internal/systemtest/flow_test.go
+++ b/internal/systemtest/flow_test.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// leaveLimit is how long a leaving endpoint may still get new work.
+	// leaveLimit is how long a leaving endpoint may still get new requests.
 	leaveLimit = 2 * time.Second
-	// batch is the number of requests of one check.
+	// batch is the number of requests that one check sends.
 	batch = 20
 )
 
-// The flows are the columns of the fault matrix. Each is run under a fault for
-// the callers of one place.
+// The flow functions are the columns of the fault matrix. Each runs under a
+// fault, most of them for the callers of one place.
 
-// flowLookup wants look-ups from every place that name only entries that serve.
+// flowLookup checks that a look-up for a place names first an entry that serves
+// the place's requests; it waits up to convergeTimeout for that.
 func (s *system) flowLookup(place string) {
 	s.t.Helper()
 	s.eventually("look-ups name an entry that serves "+place, func() bool {
@@ -30,22 +31,23 @@
 	})
 }
 
-// flowIdempotent wants every idempotent request answered in time once the
-// system has noticed the fault.
+// flowIdempotent waits until one request is served, so that the system has
+// detected the fault, and then checks that every idempotent request is answered
+// in time.
 func (s *system) flowIdempotent(place string) {
 	s.t.Helper()
 	s.eventually("requests served in "+place, func() bool { return s.get(place, s.unique("get")).status == 200 })
 	for range batch {
 		body := s.unique("get")
 		r := s.get(place, body)
-		if !r.whole(body) || r.took > callTimeout {
+		if !r.complete(body) || r.took > callTimeout {
 			s.t.Errorf("idempotent request in %s: status %d %s %v after %v", place, r.status, r.reason, r.err, r.took)
 		}
 	}
 }
 
-// flowOnce wants once-only requests run once, resends answered alike, and
-// verdicts that hold.
+// flowOnce checks that once-only requests and their retries run at most once and
+// get true verdicts, and that at least 90% of the requests are served.
 func (s *system) flowOnce(place string) {
 	s.t.Helper()
 	served := 0
@@ -55,15 +57,15 @@
 		if key == "" {
 			continue
 		}
-		if first.whole(body) {
+		if first.complete(body) {
 			served++
 		}
 		again := s.send(s.entriesOf(place)[1], place, "POST", key, body)
-		count := s.runs.of(body + "/x")
-		told := []result{first, again}
-		for _, r := range told {
+		count := s.runs.count(body + "/x")
+		results := []result{first, again}
+		for _, r := range results {
 			if r.verdict == "not-run" && count > 0 || r.verdict == "ran" && count != 1 || count > 1 {
-				s.t.Errorf("once-only request in %s: told %q, ran %d times", place, r.verdict, count)
+				s.t.Errorf("once-only request in %s: verdict %q, but ran %d times", place, r.verdict, count)
 			}
 		}
 	}
@@ -72,7 +74,8 @@
 	}
 }
 
-// flowAnnounce wants a new endpoint to get work.
+// flowAnnounce starts a new endpoint in a place and checks that it gets
+// requests.
 func (s *system) flowAnnounce(place string) *endpoint {
 	s.t.Helper()
 	model := s.endpoints[place][0]
@@ -97,7 +100,8 @@
 	return e
 }
 
-// flowLeave wants no new work for an endpoint that leaves.
+// flowLeave checks that an endpoint gets no new requests leaveLimit after it
+// reported that it is leaving.
 func (s *system) flowLeave(place string, e *endpoint) {
 	s.t.Helper()
 	e.setEntries(s.nonOwnersFirst(place))
@@ -116,8 +120,9 @@
 	e.crash()
 }
 
-// nonOwnersFirst lists the entries of a place, those that don't own its group
-// first, so that what an endpoint says has to be passed on.
+// nonOwnersFirst lists the entries of a place and then those of north-b. The
+// owner of the place's group comes last among its entries, so that announcements
+// have to be forwarded to it.
 func (s *system) nonOwnersFirst(place string) []string {
 	owner := s.owner(place)
 	var first, last []string
@@ -141,7 +146,8 @@
 	return -1
 }
 
-// flowApply wants a change accepted and in force at the given entries.
+// flowApply checks that a change is accepted and comes into force at the given
+// entries.
 func (s *system) flowApply(entries []string) {
 	s.t.Helper()
 	s.doc.Regions[0].ReservePercent++
@@ -150,15 +156,15 @@
 	if code != 0 && code != exitNotInForce {
 		s.t.Fatalf("apply: exit %d", code)
 	}
-	s.inForce(before+1, entries)
+	s.awaitInForce(before+1, entries)
 }
 
-// exitNotInForce is the exit code for a change that is accepted but not in
-// force everywhere yet.
+// exitNotInForce is the client's exit code for a change that is accepted but not
+// yet in force everywhere.
 const exitNotInForce = 4
 
-// inForce waits until entries serve at least a version.
-func (s *system) inForce(version uint64, entries []string) {
+// awaitInForce waits until the entries serve at least the given version.
+func (s *system) awaitInForce(version uint64, entries []string) {
 	s.t.Helper()
 	s.eventually(fmt.Sprintf("version %d in force at %v", version, entries), func() bool {
 		for _, name := range entries {
@@ -170,8 +176,8 @@
 	})
 }
 
-// lookupVersion asks an entry itself which version it serves; 0 when it
-// doesn't answer.
+// lookupVersion returns the document version in an entry's look-up answer, or 0
+// when the entry doesn't answer.
 func (s *system) lookupVersion(entry string) uint64 {
 	def, place := s.doc.EntryByName(entry)
 	answer, err := s.lookupAt(def.Caller, place.Name)
@@ -181,8 +187,8 @@
 	return answer.Version
 }
 
-// flowDrain wants the requests of a drained place served elsewhere, and back
-// again after the drain.
+// flowDrain drains a place and checks that its requests are served elsewhere,
+// and that requests are still served after the drain.
 func (s *system) flowDrain(place string, entries []string) {
 	s.t.Helper()
 	s.doc.Drains = []document.Drain{{Place: place, Reason: "trial"}}
@@ -208,7 +214,7 @@
 	return sum
 }
 
-// flowStop wants a planned stop of an entry to cut no request off.
+// flowStop checks that a planned stop of an entry under load fails no request.
 func (s *system) flowStop(place string) {
 	s.t.Helper()
 	name := s.doc.PlaceByName(place).Entries[0].Name
@@ -219,17 +225,18 @@
 	if err := p.wait(25 * time.Second); err != nil {
 		s.t.Errorf("planned stop of %s: %v", name, err)
 	}
-	s.wantWhole("planned stop of "+name, running.finish())
+	s.expectAllAnswered("planned stop of "+name, running.finish())
 	p.start()
 	s.eventually(name+" serves again", func() bool { return s.lookupVersion(name) > 0 })
 }
 
-// wantWhole wants every request answered whole, at the first try.
-func (s *system) wantWhole(what string, records []record) {
+// expectAllAnswered fails the test for every record without a complete answer at
+// the first attempt.
+func (s *system) expectAllAnswered(what string, records []record) {
 	s.t.Helper()
 	failed := make(map[string]int)
 	for _, r := range records {
-		if !r.whole(r.body) {
+		if !r.complete(r.body) {
 			failed[fmt.Sprintf("%d %s %s %v", r.status, r.verdict, r.reason, r.err)]++
 		}
 	}
@@ -239,10 +246,10 @@
 	}
 }
 
-// allEntries names every entry.
+// allEntries returns the names of all entries.
 func (s *system) allEntries() []string { return s.entriesIn("north-a", "north-b", "south-a") }
 
-// entriesIn names the entries of places.
+// entriesIn returns the names of the entries in the given places.
 func (s *system) entriesIn(places ...string) []string {
 	var names []string
 	for _, place := range places {
@@ -253,7 +260,8 @@
 	return names
 }
 
-// owner names the entry that a look-up gives first for a place.
+// owner returns the entry that a look-up for a place names first: the owner of
+// its group.
 func (s *system) owner(place string) string {
 	s.t.Helper()
 	var answer port.LookupAnswer
--- a/internal/systemtest/load_test.go
+++ b/internal/systemtest/load_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// load is a caller in a place that sends requests of both kinds without pause
-// and keeps what it was told.
+// load is a group of callers in one place that send idempotent and once-only
+// requests in turn and record the outcomes.
 type load struct {
 	s     *system
 	place string
@@ -18,7 +18,7 @@
 	records []record
 }
 
-// record is what a caller was told of one request.
+// record is a caller's record of one request and its outcome.
 type record struct {
 	place string
 	body  string
@@ -33,7 +33,7 @@
 	loadPause   = 10 * time.Millisecond
 )
 
-// startLoad runs callers in a place until finish.
+// startLoad starts callers in a place; finish stops them.
 func (s *system) startLoad(place string) *load {
 	l := &load{s: s, place: place, stop: make(chan struct{})}
 	for range loadCallers {
@@ -67,54 +67,56 @@
 	}
 }
 
-// finish stops the callers and returns what they were told.
+// finish stops the callers and returns the records of their requests.
 func (l *load) finish() []record {
 	close(l.stop)
 	l.wg.Wait()
 	return l.records
 }
 
-// tally counts the broken promises among records; all but unserved must be 0.
+// tally counts requests and violated guarantees. All counts but requests and
+// unserved must be 0.
 type tally struct {
-	requests int
-	unserved int // no whole answer; allowed under faults
-	mixed    int // an answer that is not the request's own
-	lied     int // told not-run, and it ran
-	twice    int // once-only, and it ran more than once
-	phantom  int // told ran, and it did not
+	requests     int
+	unserved     int // no complete answer; allowed under faults
+	wrongAnswer  int // status 200 with a body that doesn't answer this request
+	falseNotRun  int // once-only request with the verdict not-run that ran
+	duplicateRun int // once-only request that ran more than once
+	falseRan     int // request with the verdict ran that did not run
 }
 
-// judge compares what callers were told with the runs that endpoints counted.
-// Once-only requests that have no answer are sent again first.
-func (s *system) judge(records []record) tally {
+// verify compares the outcomes that callers received with the executions that
+// endpoints counted. It first retries once-only requests without a complete
+// answer, with the same key.
+func (s *system) verify(records []record) tally {
 	var sum tally
 	for _, r := range records {
 		sum.requests++
-		if r.once && !r.whole(r.body) {
+		if r.once && !r.complete(r.body) {
 			again := s.send(r.entry, r.place, "POST", r.key, r.body)
 			if again.err == nil && again.verdict != "" {
 				r.result = again
 			}
 		}
-		if !r.whole(r.body) {
+		if !r.complete(r.body) {
 			sum.unserved++
 		}
-		count := s.runs.of(r.body + "/x")
-		if r.err == nil && r.status == 200 && !r.whole(r.body) {
-			sum.mixed++
+		count := s.runs.count(r.body + "/x")
+		if r.err == nil && r.status == 200 && !r.complete(r.body) {
+			sum.wrongAnswer++
 		}
 		if r.once && r.verdict == "not-run" && count > 0 {
-			sum.lied++
+			sum.falseNotRun++
 		}
 		if r.once && count > 1 {
-			sum.twice++
+			sum.duplicateRun++
 		}
 		if r.verdict == "ran" && count == 0 {
-			sum.phantom++
+			sum.falseRan++
 		}
 	}
 	return sum
 }
 
-// broken counts the broken promises.
-func (t tally) broken() int { return t.mixed + t.lied + t.twice + t.phantom }
+// violations returns the number of violated guarantees.
+func (t tally) violations() int { return t.wrongAnswer + t.falseNotRun + t.duplicateRun + t.falseRan }
--- a/internal/systemtest/matrix_test.go
+++ b/internal/systemtest/matrix_test.go
@@ -10,17 +10,17 @@
 // row is one fault of the matrix.
 type row struct {
 	name string
-	// strike brings the fault about; heal ends it. Either may be nil.
-	strike func(s *system)
+	// inject causes the fault; heal ends it. Either may be nil.
+	inject func(s *system)
 	heal   func(s *system)
-	// serving names the places whose callers must be served under the fault.
+	// serving lists the places whose callers must be served under the fault.
 	serving []string
-	// reached names the places whose entries take a new document under it;
-	// empty means that no change can be accepted.
-	reached []string
-	// stops names the place whose entry has a planned stop under the fault;
-	// empty leaves the flow out.
-	stops string
+	// reachable lists the places whose entries receive a new document under the
+	// fault; empty means that no change can be accepted.
+	reachable []string
+	// stopIn is the place in which an entry has a planned stop under the fault;
+	// empty leaves that flow out.
+	stopIn string
 }
 
 var (
@@ -28,14 +28,15 @@
 	northOnly  = []string{"north-a", "north-b"}
 )
 
-// into loses what VMs elsewhere send to a place.
-func into(place string) blocked {
+// dropInbound drops traffic from VMs outside a place to VMs in it. Connections
+// that the test process dials have no source name and are not dropped.
+func dropInbound(place string) dropRule {
 	return func(src, dst string) bool {
 		return placeOf(dst) == place && src != "" && placeOf(src) != place
 	}
 }
 
-// placeOf says which place a VM belongs to; control VMs have none.
+// placeOf returns the place of a VM, or "" for control VMs.
 func placeOf(vm string) string {
 	for _, place := range everywhere {
 		if strings.HasPrefix(vm, place) {
@@ -45,9 +46,10 @@
 	return ""
 }
 
-// betweenPlaces says that a connection crosses the edge of a place. Endpoints
-// and callers in the test process have no name and are never cut.
-func betweenPlaces(place string) blocked {
+// isolatePlace drops all traffic between VMs in a place and VMs outside it.
+// Connections that the test process dials, as an endpoint or a caller, have no
+// source name and are never dropped.
+func isolatePlace(place string) dropRule {
 	return func(src, dst string) bool {
 		if src == "" || dst == "" {
 			return false
@@ -56,8 +58,9 @@
 	}
 }
 
-// outOf loses what VMs of a place send to others.
-func outOf(place string) blocked {
+// dropOutbound drops traffic from VMs in a place to VMs outside it, but not
+// answers to the test process.
+func dropOutbound(place string) dropRule {
 	return func(src, dst string) bool {
 		return placeOf(src) == place && dst != "" && placeOf(dst) != place
 	}
@@ -67,97 +70,97 @@
 	var frozen, killed string
 	return []row{
 		{
-			name: "None", serving: everywhere, reached: everywhere, stops: "north-a",
+			name: "None", serving: everywhere, reachable: everywhere, stopIn: "north-a",
 		},
 		{
 			name:    "KillEntry",
-			strike:  func(s *system) { killed = s.owner("north-a"); s.entries[killed].kill() },
+			inject:  func(s *system) { killed = s.owner("north-a"); s.entries[killed].kill() },
 			heal:    func(s *system) { s.entries[killed].start() },
-			serving: everywhere, reached: []string{"north-b", "south-a"}, stops: "south-a",
+			serving: everywhere, reachable: []string{"north-b", "south-a"}, stopIn: "south-a",
 		},
 		{
 			name: "KillAndRestartEntry",
-			strike: func(s *system) {
+			inject: func(s *system) {
 				p := s.entries[s.owner("north-a")]
 				p.kill()
 				p.start()
 			},
-			serving: everywhere, reached: everywhere, stops: "north-b",
+			serving: everywhere, reachable: everywhere, stopIn: "north-b",
 		},
 		{
 			name:    "FreezeAndThawEntry",
-			strike:  func(s *system) { frozen = s.owner("north-a"); s.entries[frozen].freeze() },
+			inject:  func(s *system) { frozen = s.owner("north-a"); s.entries[frozen].freeze() },
 			heal:    func(s *system) { s.entries[frozen].thaw() },
-			serving: everywhere, reached: []string{"north-b", "south-a"}, stops: "south-a",
+			serving: everywhere, reachable: []string{"north-b", "south-a"}, stopIn: "south-a",
 		},
 		{
 			name:    "CutPlaceBothWays",
-			strike:  func(s *system) { s.mesh.set(betweenPlaces("south-a")) },
+			inject:  func(s *system) { s.mesh.setRule(isolatePlace("south-a")) },
 			heal:    func(s *system) { s.mesh.heal() },
-			serving: everywhere, reached: northOnly, stops: "north-b",
+			serving: everywhere, reachable: northOnly, stopIn: "north-b",
 		},
 		{
 			name:    "CutPlaceOneWay",
-			strike:  func(s *system) { s.mesh.set(outOf("south-a")) },
+			inject:  func(s *system) { s.mesh.setRule(dropOutbound("south-a")) },
 			heal:    func(s *system) { s.mesh.heal() },
-			serving: everywhere, reached: northOnly, stops: "north-b",
+			serving: everywhere, reachable: northOnly, stopIn: "north-b",
 		},
 		{
 			name:    "CutPlaceOneWayIn",
-			strike:  func(s *system) { s.mesh.set(into("south-a")) },
+			inject:  func(s *system) { s.mesh.setRule(dropInbound("south-a")) },
 			heal:    func(s *system) { s.mesh.heal() },
-			serving: everywhere, reached: northOnly, stops: "north-a",
+			serving: everywhere, reachable: northOnly, stopIn: "north-a",
 		},
 		{
 			name:    "PlaceEntriesLost",
-			strike:  func(s *system) { s.eachEntry("north-a", (*process).kill) },
+			inject:  func(s *system) { s.eachEntry("north-a", (*process).kill) },
 			heal:    func(s *system) { s.eachEntry("north-a", (*process).start) },
-			serving: everywhere, reached: []string{"north-b", "south-a"}, stops: "south-a",
+			serving: everywhere, reachable: []string{"north-b", "south-a"}, stopIn: "south-a",
 		},
 		{
 			name: "RestartOfAll",
-			strike: func(s *system) {
+			inject: func(s *system) {
 				for _, place := range everywhere {
 					s.eachEntry(place, (*process).kill)
 					s.eachEntry(place, (*process).start)
 				}
 			},
-			serving: everywhere, reached: everywhere, stops: "north-b",
+			serving: everywhere, reachable: everywhere, stopIn: "north-b",
 		},
 		{
 			name: "KillEntryInCutPlace",
-			strike: func(s *system) {
-				s.mesh.set(betweenPlaces("south-a"))
+			inject: func(s *system) {
+				s.mesh.setRule(isolatePlace("south-a"))
 				s.entries["south-a-1"].kill()
 			},
 			heal: func(s *system) {
 				s.mesh.heal()
 				s.entries["south-a-1"].start()
 			},
-			serving: everywhere, reached: northOnly, stops: "north-b",
+			serving: everywhere, reachable: northOnly, stopIn: "north-b",
 		},
 		{
 			name: "ControlKilledAndPlaceCut",
-			strike: func(s *system) {
+			inject: func(s *system) {
 				s.controls[2].kill()
-				s.mesh.set(betweenPlaces("north-b"))
+				s.mesh.setRule(isolatePlace("north-b"))
 			},
 			heal: func(s *system) {
 				s.mesh.heal()
 				s.controls[2].start()
 			},
-			serving: everywhere, reached: []string{"north-a", "south-a"}, stops: "south-a",
+			serving: everywhere, reachable: []string{"north-a", "south-a"}, stopIn: "south-a",
 		},
 		{
 			name: "SilentConnections",
-			strike: func(s *system) {
+			inject: func(s *system) {
 				s.mesh.silence(func(_, dst string) bool { return dst != "" })
 			},
-			serving: everywhere, reached: everywhere, stops: "north-a",
+			serving: everywhere, reachable: everywhere, stopIn: "north-a",
 		},
 		{
 			name: "RegionLost",
-			strike: func(s *system) {
+			inject: func(s *system) {
 				for _, name := range s.entriesIn("south-a") {
 					s.entries[name].kill()
 				}
@@ -173,17 +176,17 @@
 					e.start()
 				}
 			},
-			serving: northOnly, reached: northOnly, stops: "north-a",
+			serving: northOnly, reachable: northOnly, stopIn: "north-a",
 		},
 		{
 			name:    "ControlKilled",
-			strike:  func(s *system) { s.controls[0].kill() },
+			inject:  func(s *system) { s.controls[0].kill() },
 			heal:    func(s *system) { s.controls[0].start() },
-			serving: everywhere, reached: everywhere, stops: "north-a",
+			serving: everywhere, reachable: everywhere, stopIn: "north-a",
 		},
 		{
 			name: "ControlMajorityLost",
-			strike: func(s *system) {
+			inject: func(s *system) {
 				s.controls[0].kill()
 				s.controls[1].kill()
 			},
@@ -191,19 +194,19 @@
 				s.controls[0].start()
 				s.controls[1].start()
 			},
-			serving: everywhere, stops: "north-a",
+			serving: everywhere, stopIn: "north-a",
 		},
 		{
 			name: "ControlDiskLostThenAnother",
-			strike: func(s *system) {
-				s.loseDisk(1)
-				s.loseDisk(2)
+			inject: func(s *system) {
+				s.wipeDisk(1)
+				s.wipeDisk(2)
 			},
-			serving: everywhere, reached: everywhere, stops: "north-b",
+			serving: everywhere, reachable: everywhere, stopIn: "north-b",
 		},
 		{
 			name: "EndpointsCrash",
-			strike: func(s *system) {
+			inject: func(s *system) {
 				for _, e := range s.endpoints["north-a"] {
 					e.crash()
 				}
@@ -213,39 +216,39 @@
 					e.start()
 				}
 			},
-			serving: everywhere, reached: everywhere, stops: "south-a",
+			serving: everywhere, reachable: everywhere, stopIn: "south-a",
 		},
 		{
 			name: "AnnouncementsStop",
-			strike: func(s *system) {
+			inject: func(s *system) {
 				for _, list := range s.endpoints {
 					for _, e := range list {
-						e.mute(true)
+						e.pauseAnnouncements(true)
 					}
 				}
 			},
 			heal: func(s *system) {
 				for _, list := range s.endpoints {
 					for _, e := range list {
-						e.mute(false)
+						e.pauseAnnouncements(false)
 					}
 				}
 			},
-			serving: everywhere, reached: everywhere, stops: "north-a",
+			serving: everywhere, reachable: everywhere, stopIn: "north-a",
 		},
 	}
 }
 
-// eachEntry does something to every entry of a place.
+// eachEntry calls do for every entry of a place.
 func (s *system) eachEntry(place string, do func(*process)) {
 	for _, name := range s.entriesIn(place) {
 		do(s.entries[name])
 	}
 }
 
-// loseDisk wipes the data folder of a control VM and waits until it votes
-// again, with what the others have.
-func (s *system) loseDisk(n int) {
+// wipeDisk deletes the data folder of a control VM, restarts it and waits until
+// it returns a document again. The version must not be older than before.
+func (s *system) wipeDisk(n int) {
 	s.t.Helper()
 	before := s.status().Version
 	p := s.controls[n-1]
@@ -263,8 +266,8 @@
 	}
 }
 
-// TestMatrix runs every flow under every fault, with callers in all places, and
-// checks at the end that no promise was broken to any of them.
+// TestMatrix runs every flow under every fault, with callers in all places. At
+// the end it checks that no guarantee to any caller was violated.
 func TestMatrix(t *testing.T) {
 	for _, r := range matrixRows() {
 		t.Run(r.name, func(t *testing.T) {
@@ -280,8 +283,8 @@
 	for _, place := range everywhere {
 		loads = append(loads, s.startLoad(place))
 	}
-	if r.strike != nil {
-		r.strike(s)
+	if r.inject != nil {
+		r.inject(s)
 	}
 	cell := func(name string, run func()) {
 		t.Run(name, func(t *testing.T) {
@@ -302,13 +305,13 @@
 	cell("Idempotent", overServing(s.flowIdempotent))
 	cell("OnceOnly", overServing(s.flowOnce))
 	cell("AnnounceAndLeave", overServing(func(place string) { s.flowLeave(place, s.flowAnnounce(place)) }))
-	if len(r.reached) > 0 {
-		cell("Apply", func() { s.flowApply(s.entriesIn(r.reached...)) })
+	if len(r.reachable) > 0 {
+		cell("Apply", func() { s.flowApply(s.entriesIn(r.reachable...)) })
 		drained := "north-b"
-		if !slices.Contains(r.reached, drained) {
-			drained = r.reached[0]
+		if !slices.Contains(r.reachable, drained) {
+			drained = r.reachable[0]
 		}
-		cell("Drain", func() { s.flowDrain(drained, s.entriesIn(r.reached...)) })
+		cell("Drain", func() { s.flowDrain(drained, s.entriesIn(r.reachable...)) })
 	} else {
 		cell("Apply", func() {
 			if code := s.apply(s.doc); code == 0 || code == exitNotInForce {
@@ -316,15 +319,15 @@
 			}
 		})
 	}
-	if r.stops != "" {
-		cell("PlannedStop", func() { s.flowStop(r.stops) })
+	if r.stopIn != "" {
+		cell("PlannedStop", func() { s.flowStop(r.stopIn) })
 	}
 	if r.heal != nil {
 		r.heal(s)
 	}
 	cell("CatchUp", func() {
 		s.eventually("a control quorum", func() bool { return s.status().Quorum })
-		s.inForce(s.status().Version, s.allEntries())
+		s.awaitInForce(s.status().Version, s.allEntries())
 		for _, place := range everywhere {
 			s.flowIdempotent(place)
 		}
@@ -334,10 +337,10 @@
 		records = append(records, l.finish()...)
 	}
 	cell("Promises", func() {
-		sum := s.judge(records)
+		sum := s.verify(records)
 		s.t.Logf("%+v", sum)
-		if sum.broken() > 0 {
-			s.t.Errorf("broken promises: %+v", sum)
+		if sum.violations() > 0 {
+			s.t.Errorf("violated guarantees: %+v", sum)
 		}
 	})
 }
--- a/internal/systemtest/measure_test.go
+++ b/internal/systemtest/measure_test.go
@@ -16,20 +16,20 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// measuring says whether the run is to print measurements; they take too long
-// for a usual run and decide nothing.
-func measuring(t *testing.T) {
+// requireMeasure skips the test unless MEASURE is set. Measurements take too long
+// for a usual run and check nothing.
+func requireMeasure(t *testing.T) {
 	if os.Getenv("MEASURE") == "" {
 		t.Skip("MEASURE is not set")
 	}
 }
 
-// TestMeasureSpread measures the time from a change's acceptance until it is in
-// force on all 16 entries, for documents of three sizes and after more and more
-// changes.
+// TestMeasureSpread measures the time from the acceptance of a change until it is
+// in force on all 16 entries, for documents of three sizes and after an
+// increasing number of changes.
 func TestMeasureSpread(t *testing.T) {
-	measuring(t)
-	s := newSystem(t, todaysSize())
+	requireMeasure(t)
+	s := newSystem(t, currentSize())
 	report(t, spreadHead)
 	for _, filler := range []int{0, 500, 5000} {
 		addClients(s.doc, filler)
@@ -44,23 +44,24 @@
 	}
 }
 
-// TestMeasureSpreadOverEntries measures the same in systems of 4 to 64 entries.
+// TestMeasureSpreadOverEntries measures the same times in systems of 4 to 64
+// entries.
 func TestMeasureSpreadOverEntries(t *testing.T) {
-	measuring(t)
+	requireMeasure(t)
 	for _, perPlace := range []int{1, 2, 4, 8, 16} {
 		t.Run(strconv.Itoa(perPlace), func(t *testing.T) {
-			l := todaysSize()
+			l := currentSize()
 			l.places = l.places[:4]
-			l.entries, l.fewer, l.endpoints = perPlace, 0, 1
+			l.entries, l.smallerPlaces, l.endpoints = perPlace, 0, 1
 			l.rules, l.links = nil, nil
 			newSystem(t, l).spread()
 		})
 	}
 }
 
-// spread makes changes one after the other and prints how long they took to be
-// decided and then to be in force everywhere. Pauses spread the changes over
-// the period in which entries look for them.
+// spread makes changes one after the other and reports how long they took to be
+// decided and then to be in force everywhere. Pauses distribute the changes over
+// the period at which entries poll for them.
 func (s *system) spread() {
 	s.t.Helper()
 	const changes = 20
@@ -73,7 +74,7 @@
 		begun := time.Now()
 		s.applyNow(base)
 		accepted := time.Now()
-		s.inForce(base+1, s.doc.EntryNames())
+		s.awaitInForce(base+1, s.doc.EntryNames())
 		decided = append(decided, accepted.Sub(begun))
 		spread = append(spread, time.Since(accepted))
 	}
@@ -87,20 +88,20 @@
 		decided[changes/2].Round(time.Millisecond), spread[changes/2].Round(time.Millisecond), spread[changes-1].Round(time.Millisecond)))
 }
 
-// spreadHead is the head of the table whose rows spread reports.
+// spreadHead is the heading of the table whose rows spread reports.
 const spreadHead = `
 ## Time until a change is in force
 
-Real processes on loopback with 3 control VMs, 20 changes for each row: from the
-operator's command until the change is decided, and from then until every entry
-answers with it. The first rows are for document sizes, the next for changes made
-before, the last for numbers of entries in four places.
+Real processes on loopback with 3 control VMs, 20 changes for each row. Measured are
+the time from the operator's command until the change is decided, and the time from
+then until every entry answers with it. The first rows vary the size of the document,
+the next the number of earlier changes, the last the number of entries in four places.
 
 | entries | bytes of document | version | decided, median | in force, median | in force, longest |
 |---|---|---|---|---|---|
 `
 
-// report prints text, and appends it to the file that MEASURE_OUT names.
+// report prints text and, if MEASURE_OUT is set, appends it to that file.
 func report(t *testing.T, text string) {
 	t.Helper()
 	fmt.Print(text)
@@ -118,7 +119,7 @@
 	}
 }
 
-// addClients fills the document with blocks of clients.
+// addClients replaces the client blocks of the first place by n blocks.
 func addClients(doc *document.Document, n int) {
 	doc.Places[0].Clients = nil
 	for i := range n {
@@ -126,7 +127,7 @@
 	}
 }
 
-// applyNow submits the document without waiting.
+// applyNow submits the document and doesn't wait until it is in force.
 func (s *system) applyNow(base uint64) {
 	s.t.Helper()
 	text, err := document.Marshal(s.doc)
@@ -140,11 +141,11 @@
 	}
 }
 
-// TestMeasureStops measures the drain time of 20 planned stops under load, and
-// counts requests that were cut off.
+// TestMeasureStops measures the drain time of 20 planned stops under load and
+// counts the requests that were cut off.
 func TestMeasureStops(t *testing.T) {
-	measuring(t)
-	s := newSystem(t, todaysSize())
+	requireMeasure(t)
+	s := newSystem(t, currentSize())
 	const stops = 20
 	var took []time.Duration
 	cut, requests := 0, 0
@@ -161,7 +162,7 @@
 		took = append(took, time.Since(begun))
 		for _, r := range running.finish() {
 			requests++
-			if !r.whole(r.body) {
+			if !r.complete(r.body) {
 				cut++
 				t.Errorf("stop of %s: %+v", p.name, r)
 			}
@@ -175,11 +176,11 @@
 		stops, cut, requests, took[stops/2].Round(time.Millisecond), took[stops-1].Round(time.Millisecond))
 }
 
-// TestMeasureTakeOver measures how long callers of a place wait after the
-// owner of its group is killed.
+// TestMeasureTakeOver measures the time from killing the owner of a group until
+// a request of the place is served.
 func TestMeasureTakeOver(t *testing.T) {
-	measuring(t)
-	s := newSystem(t, todaysSize())
+	requireMeasure(t)
+	s := newSystem(t, currentSize())
 	var waits []time.Duration
 	for n := range 5 {
 		place := s.doc.Places[n%4].Name
@@ -197,30 +198,31 @@
 		waits[2].Round(time.Millisecond), waits[4].Round(time.Millisecond))
 }
 
-// TestMeasureIdle measures what an entry costs without requests, and from the
-// difference that muted endpoints make what an announcement costs.
+// TestMeasureIdle measures the processor time and memory of an entry without
+// requests. The difference with paused announcements gives the cost of one
+// announcement.
 func TestMeasureIdle(t *testing.T) {
-	measuring(t)
-	s := newSystem(t, todaysSize())
+	requireMeasure(t)
+	s := newSystem(t, currentSize())
 	announced := s.idleCost("with 30 endpoints that announce four times a second")
 	for _, list := range s.endpoints {
 		for _, e := range list {
-			e.mute(true)
+			e.pauseAnnouncements(true)
 		}
 	}
-	silent := s.idleCost("with endpoints that say nothing")
+	silent := s.idleCost("with endpoints that send no announcements")
 	perS := 30 / announcePeriod.Seconds()
 	fmt.Printf("an announcement costs %v of processor time at all entries together\n",
 		time.Duration((announced-silent)/perS*float64(time.Second)).Round(time.Microsecond))
 }
 
-// idleCost prints what entries use now and returns the sum of their processor
-// time per second.
+// idleCost prints the resource usage of the entries over the next 10 s and
+// returns the sum of their processor time per second.
 func (s *system) idleCost(when string) float64 {
 	const span = 10 * time.Second
-	before := s.costs()
+	before := s.entryUsage()
 	time.Sleep(span)
-	after := s.costs()
+	after := s.entryUsage()
 	var cpu, rss []float64
 	sum := 0.0
 	for name := range before {
@@ -237,22 +239,23 @@
 	return sum
 }
 
-// cost is what a process has used.
-type cost struct {
+// usage is the resource usage of a process.
+type usage struct {
 	cpu float64 // seconds
 	rss float64 // megabytes
 }
 
-func (s *system) costs() map[string]cost {
-	costs := make(map[string]cost)
+func (s *system) entryUsage() map[string]usage {
+	costs := make(map[string]usage)
 	for name, p := range s.entries {
 		pid := strconv.Itoa(p.cmd.Process.Pid)
-		costs[name] = cost{cpu: cpuSeconds(pid), rss: residentMB(pid)}
+		costs[name] = usage{cpu: cpuSeconds(pid), rss: residentMB(pid)}
 	}
 	return costs
 }
 
-// cpuSeconds reads user and system time (proc(5), /proc/pid/stat).
+// cpuSeconds returns the user and system time of a process from /proc/pid/stat
+// (proc(5)), or 0 when it can't be read.
 func cpuSeconds(pid string) float64 {
 	text, err := os.ReadFile("/proc/" + pid + "/stat")
 	if err != nil {
@@ -265,7 +268,8 @@
 	return (user + system) / ticksPerSecond
 }
 
-// residentMB reads the resident memory (proc(5), /proc/pid/status).
+// residentMB returns the resident memory of a process from /proc/pid/status
+// (proc(5)), or 0 when it can't be read.
 func residentMB(pid string) float64 {
 	text, err := os.ReadFile("/proc/" + pid + "/status")
 	if err != nil {
@@ -281,43 +285,44 @@
 }
 
 // TestMeasureCosts measures the processor time of one look-up and of one
-// request at the entry that answers it, over connections that are kept.
+// idempotent request at the owner's entry, over reused connections.
 func TestMeasureCosts(t *testing.T) {
-	measuring(t)
-	s := newSystem(t, todaysSize())
+	requireMeasure(t)
+	s := newSystem(t, currentSize())
 	place := s.doc.Places[0].Name
 	answer, err := s.lookup(place)
 	if err != nil {
 		t.Fatal(err)
 	}
 	owner := answer.Entries[0]
-	lookups := s.hammer(owner.Name, "http://"+owner.Address+"/v1/lookup?service="+service+"&place="+place)
-	requests := s.hammer(owner.Name, "http://"+owner.Address+"/s/"+service+"/x")
+	lookups := s.runClosedLoop(owner.Name, "http://"+owner.Address+"/v1/lookup?service="+service+"&place="+place)
+	requests := s.runClosedLoop(owner.Name, "http://"+owner.Address+"/s/"+service+"/x")
 	fmt.Printf("look-up over HTTP: %v\nidempotent request at its owner: %v\n", lookups, requests)
 }
 
-// hammered is what a closed loop of callers measured.
-type hammered struct {
+// loopResult is the result of a closed loop of callers.
+type loopResult struct {
 	perS     float64
 	p50, p99 time.Duration
 	cpu      time.Duration // of the entry, per call
 	failed   int
 }
 
-func (h hammered) String() string {
+func (h loopResult) String() string {
 	return fmt.Sprintf("%.0f/s, %v processor time each, p50 %v, p99 %v, %d failed",
 		h.perS, h.cpu.Round(time.Microsecond), h.p50.Round(10*time.Microsecond), h.p99.Round(10*time.Microsecond), h.failed)
 }
 
-// hammer sends GETs from eight callers for a while.
-func (s *system) hammer(entry, url string) hammered {
+// runClosedLoop sends GET requests from eight callers for 5 s, each caller sending
+// its next request when it has the answer to the last one.
+func (s *system) runClosedLoop(entry, url string) loopResult {
 	const callers = 8
 	const span = 5 * time.Second
 	caller := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}, Timeout: callTimeout}
 	var mu sync.Mutex
 	var took []time.Duration
 	failed := 0
-	before := s.costs()[entry].cpu
+	before := s.entryUsage()[entry].cpu
 	begun := time.Now()
 	var wg sync.WaitGroup
 	for range callers {
@@ -335,10 +340,10 @@
 		})
 	}
 	wg.Wait()
-	cpu := s.costs()[entry].cpu - before
+	cpu := s.entryUsage()[entry].cpu - before
 	slices.Sort(took)
 	n := len(took)
-	return hammered{
+	return loopResult{
 		perS:   float64(n) / span.Seconds(),
 		p50:    took[n/2],
 		p99:    took[n*99/100],
@@ -357,10 +362,11 @@
 	return err == nil && response.StatusCode == http.StatusOK
 }
 
-// TestMeasureSilence measures how once-only requests end whose connection
-// between two entries has gone silent, over the time since it did.
+// TestMeasureSilence counts the verdicts of once-only requests that an entry
+// forwards after its connections to other entries went silent, by the time since
+// then.
 func TestMeasureSilence(t *testing.T) {
-	measuring(t)
+	requireMeasure(t)
 	const rounds, atOnce = 10, 8
 	s := newSystem(t, twoRegions())
 	report(t, silenceHead)
@@ -397,12 +403,13 @@
 	}
 }
 
-// silenceHead is the head of the table whose rows TestMeasureSilence reports.
+// silenceHead is the heading of the table whose rows TestMeasureSilence reports.
 const silenceHead = `
 ## Once-only requests over a connection between entries that went silent
 
-Every open connection between entries goes silent, new ones work. After a pause 8
-once-only requests at a time go through an entry that doesn't own the group.
+Every established connection between entries goes silent; new connections work. After
+a pause, 8 once-only requests at a time are sent through an entry that doesn't own the
+group.
 
 | pause | requests | ran | not-run | may-have-run |
 |---|---|---|---|---|
--- a/internal/systemtest/mesh_test.go
+++ b/internal/systemtest/mesh_test.go
@@ -8,36 +8,36 @@
 	"testing"
 )
 
-// blocked says whether bytes from VM src to VM dst are lost.
-type blocked func(src, dst string) bool
+// dropRule reports whether the mesh drops bytes from VM src to VM dst.
+type dropRule func(src, dst string) bool
 
-// mesh relays every connection between VMs and knows who dials whom by the
+// mesh relays every connection between VMs. It identifies the dialing VM by the
 // source address.
 type mesh struct {
 	t *testing.T
 
-	mu     sync.Mutex
-	names  map[string]string // VM by IP
-	rule   blocked
-	struck map[*relay]struct{} // relays that have lost bytes
-	relays map[*relay]struct{}
-	lns    []net.Listener
+	mu       sync.Mutex
+	names    map[string]string // name of the VM by IP
+	rule     dropRule
+	silenced map[*relay]struct{} // relays that have dropped bytes; they drop all further ones
+	relays   map[*relay]struct{}
+	lns      []net.Listener
 }
 
 func newMesh(t *testing.T) *mesh {
 	m := &mesh{
-		t:      t,
-		names:  make(map[string]string),
-		rule:   func(_, _ string) bool { return false },
-		struck: make(map[*relay]struct{}),
-		relays: make(map[*relay]struct{}),
+		t:        t,
+		names:    make(map[string]string),
+		rule:     func(_, _ string) bool { return false },
+		silenced: make(map[*relay]struct{}),
+		relays:   make(map[*relay]struct{}),
 	}
 	t.Cleanup(m.close)
 	return m
 }
 
-// expose relays connections to front on to target, the address of VM dst. Who
-// dials is known by the source IP; src, when set, names the only dialer.
+// expose relays connections made to front to target, the address of VM dst. The
+// dialing VM is src or, when src is empty, the one registered for the source IP.
 func (m *mesh) expose(front, target, src, dst string) {
 	m.t.Helper()
 	ln, err := net.Listen("tcp", front)
@@ -58,8 +58,8 @@
 	}()
 }
 
-// name registers the IP of a VM.
-func (m *mesh) name(ip, vm string) {
+// registerVM registers the IP address of a VM.
+func (m *mesh) registerVM(ip, vm string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.names[ip] = vm
@@ -79,43 +79,45 @@
 	r.run(target)
 	m.mu.Lock()
 	delete(m.relays, r)
-	delete(m.struck, r)
+	delete(m.silenced, r)
 	m.mu.Unlock()
 }
 
-// lost says whether bytes from src to dst are lost now, and remembers that r
-// has lost some: it can't carry a whole stream again.
-func (m *mesh) lost(r *relay, src, dst string) bool {
+// drops reports whether bytes from src to dst are dropped now. A relay that has
+// dropped bytes drops everything from then on, because the rest of the stream
+// would be useless without them.
+func (m *mesh) drops(r *relay, src, dst string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, struck := m.struck[r]; struck {
+	if _, silent := m.silenced[r]; silent {
 		return true
 	}
 	if !m.rule(src, dst) {
 		return false
 	}
-	m.struck[r] = struct{}{}
+	m.silenced[r] = struct{}{}
 	return true
 }
 
-// set replaces the rule. Connections that lost bytes stay silent for good.
-func (m *mesh) set(rule blocked) {
+// setRule replaces the rule. Connections that have dropped bytes stay silent until
+// they are closed.
+func (m *mesh) setRule(rule dropRule) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.rule = rule
 }
 
-// heal ends all faults but for connections that have gone silent already.
-func (m *mesh) heal() { m.set(func(_, _ string) bool { return false }) }
+// heal stops dropping bytes, except on connections that are already silent.
+func (m *mesh) heal() { m.setRule(func(_, _ string) bool { return false }) }
 
-// silence makes all established connections that match lose everything from
-// now on, while new ones work.
-func (m *mesh) silence(match blocked) {
+// silence makes all established connections that match drop everything from now
+// on, while new ones work.
+func (m *mesh) silence(match dropRule) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for r := range m.relays {
 		if match(r.src, r.dst) {
-			m.struck[r] = struct{}{}
+			m.silenced[r] = struct{}{}
 		}
 	}
 }
@@ -144,8 +146,9 @@
 
 func (r *relay) run(target string) {
 	defer r.close()
-	if r.mesh.lost(r, r.src, r.dst) || r.mesh.lost(r, r.dst, r.src) {
-		// A cut swallows the dial: nothing comes back until the dialer gives up.
+	if r.mesh.drops(r, r.src, r.dst) || r.mesh.drops(r, r.dst, r.src) {
+		// The connection is accepted, but nothing is sent back until the dialing
+		// side gives up.
 		_, _ = io.Copy(io.Discard, r.in)
 		return
 	}
@@ -168,13 +171,13 @@
 	wg.Wait()
 }
 
-// pump copies bytes one way; lost ones are read and dropped, and so is the end
-// of the stream.
+// pump copies bytes in one direction. Once bytes are dropped, it reads and
+// discards all further ones and doesn't forward the end of the stream.
 func (r *relay) pump(to, from net.Conn, src, dst string) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if r.mesh.lost(r, src, dst) {
+		if r.mesh.drops(r, src, dst) {
 			if err != nil {
 				return
 			}
@@ -187,14 +190,14 @@
 			}
 		}
 		if err != nil {
-			r.end(to, err)
+			r.forwardEnd(to, err)
 			return
 		}
 	}
 }
 
-// end passes the end of a stream on: a close as a close, a reset as a reset.
-func (r *relay) end(to net.Conn, err error) {
+// forwardEnd forwards the end of a stream: a close as a close, a reset as a reset.
+func (r *relay) forwardEnd(to net.Conn, err error) {
 	if errors.Is(err, io.EOF) {
 		_ = to.(*net.TCPConn).CloseWrite()
 		return
--- a/internal/systemtest/path_test.go
+++ b/internal/systemtest/path_test.go
@@ -10,9 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// TestThinPath is the whole path without faults: a request of each kind through
-// each entry, and the resend of a once-only key.
-func TestThinPath(t *testing.T) {
+// TestPathWithoutFaults checks the path of a request when nothing fails. It
+// sends an idempotent request through each entry, and one once-only key through
+// all entries: it must run once, and each entry must return the stored answer.
+func TestPathWithoutFaults(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newSystem(t, twoRegions())
@@ -20,7 +21,7 @@
 		for _, entry := range s.entriesOf(place.Name) {
 			body := s.unique("get")
 			r := s.send(entry, place.Name, "GET", "", body)
-			is.True(r.whole(body)) // idempotent request through every entry
+			is.True(r.complete(body)) // idempotent request through every entry
 		}
 	}
 	answer, err := s.lookup("north-a")
@@ -30,16 +31,17 @@
 	for _, place := range s.doc.Places {
 		for _, entry := range s.entriesOf(place.Name) {
 			r := s.send(entry, "north-a", "POST", key, body)
-			is.True(r.whole(body)) // the stored answer through every entry
+			is.True(r.complete(body)) // the stored answer through every entry
 			is.Equal(r.verdict, "ran")
 		}
 	}
-	is.Equal(s.runs.of(body+"/x"), 1)
+	is.Equal(s.runs.count(body+"/x"), 1)
 }
 
-// TestResendPastDeadline sends a key again through every entry after its first
-// attempt ran beyond its deadline, with time left and with next to none: no
-// resend is told not-run, and nothing runs twice.
+// TestResendPastDeadline guards against a wrong verdict, or a second execution,
+// when a once-only key is retried after its first attempt exceeded its deadline.
+// The key is retried through every entry, with the usual timeout and with 1 ms;
+// no retry may get the verdict not-run.
 func TestResendPastDeadline(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -58,11 +60,11 @@
 			is.Equal(r.verdict, "may-have-run")
 		}
 	}
-	is.Equal(s.runs.of(body+"/x"), 1)
+	is.Equal(s.runs.count(body+"/x"), 1)
 }
 
-// TestUnknownPlace starts an entry whose settings name a place that the
-// document doesn't have: it ends with the file, line and field, and exit code 2.
+// TestUnknownPlace starts an entry whose settings name a place that the document
+// doesn't have. It must print the file, line and field, and exit with code 2.
 func TestUnknownPlace(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -71,15 +73,16 @@
 	path := s.write("stray.yaml", "name: stray\nplace: nowhere\ncaller_listen: "+ip+":18080\n"+
 		"peer_listen: "+ip+":19080\ncontrol: [\""+s.ip(kindFrontControl, 1)+":19090\"]\n")
 	p := newProcess(t, "stray", "entry", "-settings", path)
-	err := p.wait(settle)
+	err := p.wait(convergeTimeout)
 	var exit *exec.ExitError
 	is.True(errors.As(err, &exit))
 	is.Equal(exit.ExitCode(), 2)
 	is.True(strings.Contains(p.text(), "stray.yaml:2: place: unknown place"))
 }
 
-// TestRollingRestart restarts the entries of the only place under load, each by
-// a planned stop right after the other was started, twice over.
+// TestRollingRestart guards against requests that fail during a rolling restart.
+// It stops and restarts the entries of the only place one after the other under
+// load, twice, without a pause between them.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	l := twoRegions()
@@ -95,6 +98,6 @@
 			p.start()
 		})
 	}
-	time.Sleep(4 * time.Second) // until the last may own
-	s.wantWhole("rolling restart", running.finish())
+	time.Sleep(4 * time.Second) // until the last restarted entry may own a group
+	s.expectAllAnswered("rolling restart", running.finish())
 }
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -35,8 +35,7 @@
 	return m.Run()
 }
 
-// process is one process of the binary that can be killed, frozen and started
-// again.
+// process is a process of the binary that can be killed, frozen and restarted.
 type process struct {
 	t    *testing.T
 	name string
@@ -49,7 +48,7 @@
 	err  error
 }
 
-// logWriter appends a process's log under its lock.
+// logWriter appends to the log of a process, holding the process's mutex.
 type logWriter struct{ p *process }
 
 func (w logWriter) Write(b []byte) (int, error) {
@@ -103,7 +102,7 @@
 	_ = p.cmd.Process.Signal(s)
 }
 
-// kill ends the process at once and waits for it.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
--- a/internal/systemtest/proofs_test.go
+++ b/internal/systemtest/proofs_test.go
@@ -10,11 +10,12 @@
 	"github.com/matryer/is"
 )
 
-// testName is how docs/PROOFS.md names a test: its package, its function and,
+// testName matches a test name in docs/PROOFS.md: its package, its function and,
 // for rows of the matrix, the row and the flow.
 var testName = regexp.MustCompile("`([a-z/]+)\\.(Test[A-Za-z0-9]+)((?:/[A-Za-z]+)*)`")
 
-// TestProofsNameTests wants every test that docs/PROOFS.md names to exist.
+// TestProofsNameTests guards against references in docs/PROOFS.md to tests that
+// were renamed or removed.
 func TestProofsNameTests(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/PROOFS.md")
@@ -36,8 +37,8 @@
 	}
 }
 
-// hasTest says whether a package under internal, or that of the platform, has a
-// test function.
+// hasTest reports whether a package under internal, or package platform, has a
+// test function of the given name.
 func hasTest(t *testing.T, pkg, name string) bool {
 	t.Helper()
 	folder := filepath.Join("..", pkg)
--- a/internal/systemtest/soak_test.go
+++ b/internal/systemtest/soak_test.go
@@ -13,28 +13,30 @@
 )
 
 const (
-	// soakSeed orders the faults.
+	// soakSeed is the seed of the order of the faults.
 	soakSeed = 20261204
-	// soakDefault and pairsDefault are the lengths of the load in a usual run;
-	// SOAK_SECONDS sets another.
+	// soakDefault and pairsDefault are the default durations of the load;
+	// SOAK_SECONDS overrides both.
 	soakDefault  = 12 * time.Second
 	pairsDefault = 6 * time.Second
 	// soakFault is how long each fault lasts.
 	soakFault = 1500 * time.Millisecond
-	// nearCap and farCap are the caps of a shift within a region and to another.
+	// nearCap and farCap are the caps of a shift within a region and to another
+	// region, in requests per second.
 	nearCap = 120
 	farCap  = 60
 )
 
-// todaysSize is one user's system of today: six places in three regions, 16
-// entries and 32 workers with three slots.
-func todaysSize() layout {
+// currentSize is the current size of one user's system: six places in three
+// regions, with 16 entries and 5 workers of three slots per place. The user has
+// 32 workers; this layout starts 30.
+func currentSize() layout {
 	l := layout{
-		entries:   3,
-		fewer:     2,
-		endpoints: 5,
-		slots:     3,
-		work:      2 * time.Millisecond,
+		entries:       3,
+		smallerPlaces: 2,
+		endpoints:     5,
+		slots:         3,
+		work:          2 * time.Millisecond,
 	}
 	regions := []string{"norte", "centro", "alentejo"}
 	for _, region := range regions {
@@ -68,10 +70,10 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// soakFaults are what happens, one after the other, in the order of the seed.
+// soakFaults are the faults that the soak tests inject.
 var soakFaults = []struct {
 	name string
-	// run strikes a place or, picked at random, a control VM.
+	// run injects the fault into a place or into a control VM that pick selects.
 	run func(s *system, place *document.Place, pick *rand.Rand)
 }{
 	{"kill an entry and start it again", func(s *system, place *document.Place, _ *rand.Rand) {
@@ -87,7 +89,7 @@
 		p.thaw()
 	}},
 	{"cut a place off", func(s *system, place *document.Place, _ *rand.Rand) {
-		s.mesh.set(func(src, dst string) bool {
+		s.mesh.setRule(func(src, dst string) bool {
 			return src != "" && dst != "" && (s.placeOfVM(src) == place.Name) != (s.placeOfVM(dst) == place.Name)
 		})
 		time.Sleep(soakFault)
@@ -129,7 +131,7 @@
 	}},
 }
 
-// placeOfVM says which place an entry belongs to; others have none.
+// placeOfVM returns the place of an entry, or "" for other VMs.
 func (s *system) placeOfVM(vm string) string {
 	_, place := s.doc.EntryByName(vm)
 	if place == nil {
@@ -138,8 +140,9 @@
 	return place.Name
 }
 
-// TestSoak runs today's size of one user under mixed load and faults one after
-// the other, and counts broken promises.
+// TestSoak runs the current size of one user's system under mixed load, injects
+// faults one after the other and counts violated guarantees. It guards against
+// violations that appear only when faults follow each other.
 func TestSoak(t *testing.T) {
 	pick := rand.New(rand.NewPCG(soakSeed, 0))
 	order := pick.Perm(len(soakFaults))
@@ -150,8 +153,8 @@
 	})
 }
 
-// TestSoakPairs does the same with two faults at a time: every pair once, in the
-// order of the seed, as far as the time goes.
+// TestSoakPairs does the same with two faults at a time. It goes through all
+// pairs in an order given by the seed, as far as the time allows.
 func TestSoakPairs(t *testing.T) {
 	var pairs [][2]int
 	for i := range soakFaults {
@@ -165,8 +168,8 @@
 		pair := pairs[n%len(pairs)]
 		first, second := soakFaults[pair[0]], soakFaults[pair[1]]
 		var other sync.WaitGroup
-		// The second place is in the same region, so that each is the other's
-		// next choice.
+		// The second place is in the same region, so that each place is the
+		// other's first choice for a shift.
 		k := pick.IntN(len(s.doc.Places))
 		a, b := &s.doc.Places[k], &s.doc.Places[k^1]
 		other.Go(func() { first.run(s, a, rand.New(rand.NewPCG(soakSeed, uint64(n)))) })
@@ -177,10 +180,11 @@
 	})
 }
 
-// soak runs faults under load for a time and judges what callers were told.
-// strike is called for the nth time from 0 and returns what it did.
-func soak(t *testing.T, length time.Duration, strike func(s *system, n int) string) {
-	s := newSystem(t, todaysSize())
+// soak injects faults under load for the given time, and then checks the
+// outcomes that callers received and the caps of all rules. inject is called
+// with n counting from 0 and returns the name of the fault.
+func soak(t *testing.T, length time.Duration, inject func(s *system, n int) string) {
+	s := newSystem(t, currentSize())
 	var loads []*load
 	for _, place := range s.doc.Places {
 		loads = append(loads, s.startLoad(place.Name))
@@ -188,20 +192,20 @@
 	begun := time.Now()
 	for n := 0; time.Since(begun) < length; n++ {
 		at := time.Since(begun)
-		t.Logf("%5.1f s: %s", at.Seconds(), strike(s, n))
+		t.Logf("%5.1f s: %s", at.Seconds(), inject(s, n))
 	}
 	s.mesh.heal()
 	var records []record
 	for _, l := range loads {
 		records = append(records, l.finish()...)
 	}
-	sum := s.judge(records)
+	sum := s.verify(records)
 	t.Logf("%v of load: %+v", time.Since(begun).Round(time.Second), sum)
-	if sum.broken() > 0 {
-		t.Errorf("broken promises: %+v", sum)
+	if sum.violations() > 0 {
+		t.Errorf("violated guarantees: %+v", sum)
 	}
 	for _, rule := range s.doc.Rules {
-		most := s.runs.mostMoved(func(from, to string) bool {
+		most := s.runs.maxMovedPerSecond(func(from, to string) bool {
 			return s.within(from, rule.From) && s.within(to, rule.To)
 		})
 		if most > rule.RequestsPerS {
@@ -211,7 +215,8 @@
 	t.Log(s.moveSummary())
 }
 
-// within says whether a place is, or lies in, what a rule names.
+// within reports whether a place is the place, or lies in the region, that a
+// rule names.
 func (s *system) within(place, name string) bool {
 	def := s.doc.PlaceByName(place)
 	return place == name || def != nil && def.Region == name
@@ -220,7 +225,7 @@
 func (s *system) moveSummary() string {
 	most := 0
 	for _, rule := range s.doc.Rules {
-		most = max(most, s.runs.mostMoved(func(from, to string) bool {
+		most = max(most, s.runs.maxMovedPerSecond(func(from, to string) bool {
 			return s.within(from, rule.From) && s.within(to, rule.To)
 		})*100/rule.RequestsPerS)
 	}
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -23,27 +23,29 @@
 	service   = "desk"
 	token     = "demo-token"
 	tokenHash = "7c43ef5ae21d43ce2743f770c68e24def1a43ee2f416d2438410c8af7af2ff2c"
-	// settle bounds every wait for a state that must come by itself.
-	settle = 15 * time.Second
+	// convergeTimeout bounds every wait for a state that the system must reach on
+	// its own.
+	convergeTimeout = 15 * time.Second
 )
 
-// nextNet gives each system a network of its own within 127.0.0.0/8.
+// nextNet is the counter from which each system gets its own network within
+// 127.0.0.0/8.
 var nextNet atomic.Int32
 
-// layout says how large a system is.
+// layout describes the size and the configuration of a system.
 type layout struct {
-	places    []document.Place // without entries
-	entries   int              // per place
-	fewer     int              // the last places have one entry less
-	endpoints int              // per place
-	slots     int
-	work      time.Duration
-	rules     []document.Rule
-	links     []document.Link
+	places        []document.Place // without entries
+	entries       int              // per place
+	smallerPlaces int              // number of places, from the end of the list, with one entry less
+	endpoints     int              // per place
+	slots         int
+	work          time.Duration
+	rules         []document.Rule
+	links         []document.Link
 }
 
 // twoRegions is the layout of most tests: two places in one region and one in
-// another, with rules between all of them.
+// another, with rules that permit shifts between all of them.
 func twoRegions() layout {
 	return layout{
 		places: []document.Place{
@@ -81,15 +83,16 @@
 	entries   map[string]*process
 	endpoints map[string][]*endpoint // by place
 
-	mu   sync.Mutex
-	good map[string]string // the entry that last answered the callers of a place
+	mu        sync.Mutex
+	lastEntry map[string]string // by place: the entry that last answered a look-up
 }
 
 const controls = 3
 
 func (s *system) ip(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", s.net, kind, n) }
 
-// Kinds of addresses: the third byte of an IP.
+// The third byte of an IP tells the kind of address. Addresses of the kinds
+// named Front belong to the mesh, which relays them to the real address.
 const (
 	kindControl      = 1
 	kindEntry        = 10  // plus the index of the place
@@ -99,20 +102,20 @@
 	kindFrontControl = 200 // plus the dialing control VM; 0 for entries
 )
 
-// newSystem starts everything and waits until requests are served in every
-// place.
+// newSystem starts all processes and endpoints, and waits until requests are
+// served in every place and entries may use their shares of caps.
 func newSystem(t *testing.T, l layout) *system {
 	t.Helper()
 	s := &system{
 		t:         t,
 		layout:    l,
-		net:       claimNet(t),
+		net:       reserveNetwork(t),
 		dir:       t.TempDir(),
 		mesh:      newMesh(t),
 		runs:      &runs{counts: make(map[string]int)},
 		entries:   make(map[string]*process),
 		endpoints: make(map[string][]*endpoint),
-		good:      make(map[string]string),
+		lastEntry: make(map[string]string),
 	}
 	s.write("token", token)
 	s.buildDocument()
@@ -132,17 +135,17 @@
 	for _, place := range s.doc.Places {
 		s.awaitServing(place.Name)
 	}
-	time.Sleep(time.Until(started.Add(capsUsable)))
+	time.Sleep(time.Until(started.Add(capsUsableAfter)))
 	return s
 }
 
-// capsUsable is how long after its start an entry may use its shares of caps: a
-// term, two windows and their margins.
-const capsUsable = 6 * time.Second
+// capsUsableAfter is the time after its start at which an entry may use its
+// shares of caps: a term, two windows and their margins.
+const capsUsableAfter = 6 * time.Second
 
-// claimNet finds a network that no other test uses, in this process or another
-// one, and holds it by a listener until the test ends.
-func claimNet(t *testing.T) int32 {
+// reserveNetwork returns the number of a network that no other test uses, in this
+// process or another one. A listener reserves it until the test ends.
+func reserveNetwork(t *testing.T) int32 {
 	t.Helper()
 	for range nets {
 		n := firstNet + nextNet.Add(1)%nets
@@ -157,7 +160,7 @@
 	return 0
 }
 
-// Networks 127.20.0.0/16 to 127.119.0.0/16 are the tests'.
+// The tests use the networks 127.20.0.0/16 to 127.119.0.0/16.
 const (
 	firstNet = 20
 	nets     = 100
@@ -177,7 +180,7 @@
 	for i, place := range s.layout.places {
 		place.Clients = []string{fmt.Sprintf("10.%d.0.0/16", i)}
 		entries := s.layout.entries
-		if i >= len(s.layout.places)-s.layout.fewer {
+		if i >= len(s.layout.places)-s.layout.smallerPlaces {
 			entries--
 		}
 		for n := range entries {
@@ -244,7 +247,7 @@
 func (s *system) startEntry(i, n int) {
 	entry := s.doc.Places[i].Entries[n]
 	ip := s.ip(kindEntry+i, n+1)
-	s.mesh.name(ip, entry.Name)
+	s.mesh.registerVM(ip, entry.Name)
 	s.mesh.expose(entry.Peer, ip+":19080", "", entry.Name)
 	s.mesh.expose(entry.Caller, ip+":18080", "", entry.Name)
 	var control, seeds []string
@@ -288,19 +291,21 @@
 	}
 }
 
-// eventually waits for a state that must come by itself.
+// eventually waits until ok returns true. The test fails when that takes longer
+// than convergeTimeout.
 func (s *system) eventually(what string, ok func() bool) {
 	s.t.Helper()
-	deadline := time.Now().Add(settle)
+	deadline := time.Now().Add(convergeTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not within %v: %s", settle, what)
+			s.t.Fatalf("not within %v: %s", convergeTimeout, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// ctl runs the operators' client and returns its exit code and output.
+// ctl runs the operators' command-line client with the addresses of all control
+// VMs and returns its exit code and output.
 func (s *system) ctl(args ...string) (int, string) {
 	var urls []string
 	for n := 1; n <= controls; n++ {
@@ -318,7 +323,9 @@
 	return cmd.ProcessState.ExitCode(), out.String()
 }
 
-// apply submits a document and waits until it is in force; 0 means that it is.
+// apply submits a document based on the current version and waits until it is in
+// force, with a timeout of 5 s. It returns the client's exit code; 0 means that
+// the document is in force.
 func (s *system) apply(doc *document.Document) int {
 	text, err := document.Marshal(doc)
 	if err != nil {
@@ -333,7 +340,8 @@
 	return code
 }
 
-// status returns what the control VMs know.
+// status returns the status that the control VMs report, or the zero value when
+// they report none.
 func (s *system) status() port.ControlStatus {
 	_, out := s.ctl("status", "-o", "json")
 	var status port.ControlStatus
