--- a/internal/measure/controlcost/change.go
+++ b/internal/measure/controlcost/change.go
@@ -10,65 +10,69 @@
 )
 
 const (
-	// backupPeriod is how often a daemon that doesn't speak for its place asks a
-	// control VM itself.
+	// backupPeriod is the period at which a daemon that isn't the representative
+	// of its place fetches from a control VM.
 	backupPeriod = 5 * time.Second
-	// newVersion is the version that a change makes.
+	// newVersion is the document version that the change creates.
 	newVersion = 9999
-	// changeLimit bounds the simulated time that a change is followed.
+	// changeLimit bounds the simulated time for which a change is followed.
 	changeLimit = 30 * time.Second
-	// changeSeed gives the order in which daemons look within a period, and the
-	// moments at which they last asked a control VM.
+	// changeSeed is the seed of the order in which daemons check for the change
+	// within a period, and of the times of their last fetches.
 	changeSeed = 1
 )
 
-// change is a change on its way from the control VMs to all daemons. Each
-// daemon looks for it once in a period as entries do: at the nearest peer that
-// has it, and at a control VM if it speaks for its place or hasn't asked one
-// for long.
+// change simulates the propagation of a change from the control VMs to all
+// daemons. Each daemon checks for it once per period, as entries do: it takes
+// the document from the nearest peer that has it, and fetches from a control VM
+// if it is the representative of its place or its last fetch is at least
+// backupPeriod ago.
 type change struct {
 	*system
-	// order is that in which daemons look within a period.
-	order   []string
-	lastOwn map[string]time.Time
-	behind  map[string]bool
-	// fetches are the requests to control VMs until all have the change;
-	// documents are those of them that carry it.
+	// order is the order in which daemons check for the change within a period.
+	order     []string
+	lastFetch map[string]time.Time
+	outdated  map[string]bool
+	// fetches is the number of requests to control VMs until all daemons have the
+	// change; documents is the number of those whose answer contains the document.
 	fetches, documents int
-	// speakers are the documents that went to daemons that speak for a place.
-	speakers int
-	// served is how often each daemon passed the document on.
+	// representatives is the number of documents that control VMs sent to
+	// representatives of a place.
+	representatives int
+	// served is the number of times that each daemon sent the document to a peer.
 	served map[string]int
 }
 
-// changeCost is what one change costs.
+// changeCost is the cost of propagating one change. half and took are the
+// simulated times until half of the daemons and all of them have it.
 type changeCost struct {
 	size
-	took                         time.Duration
-	half                         time.Duration
-	fetches, documents, speakers int
-	mostServed                   int
+	took                                time.Duration
+	half                                time.Duration
+	fetches, documents, representatives int
+	mostServed                          int
 }
 
 func (c changeCost) row() string {
 	return fmt.Sprintf("| %d | %d | %d | %d | %d | %d | %d | %.1f | %.1f |",
-		c.places, c.perPlace, c.places*c.perPlace, c.fetches, c.documents, c.speakers, c.mostServed,
+		c.places, c.perPlace, c.places*c.perPlace, c.fetches, c.documents, c.representatives, c.mostServed,
 		c.half.Seconds(), c.took.Seconds())
 }
 
-// measureChange decides a change in a system that has settled and follows it.
+// measureChange makes a change in a system whose membership has converged, and
+// follows it until all daemons have it or changeLimit has passed.
 func measureChange(s size, o options) changeCost {
 	c := newChange(s, o)
 	cost := changeCost{size: s}
 	begin := c.now
-	for len(c.behind) > 0 && c.now.Sub(begin) < changeLimit {
-		c.lookAll()
-		if cost.half == 0 && len(c.behind) <= len(c.names)/2 {
+	for len(c.outdated) > 0 && c.now.Sub(begin) < changeLimit {
+		c.checkAll()
+		if cost.half == 0 && len(c.outdated) <= len(c.names)/2 {
 			cost.half = c.now.Sub(begin)
 		}
 	}
 	cost.took = c.now.Sub(begin)
-	cost.fetches, cost.documents, cost.speakers = c.fetches, c.documents, c.speakers
+	cost.fetches, cost.documents, cost.representatives = c.fetches, c.documents, c.representatives
 	for _, n := range c.served {
 		cost.mostServed = max(cost.mostServed, n)
 	}
@@ -79,60 +83,61 @@
 	sys := newSystem(s, o, membership.NewDirectory(peersOf(s), cellSize))
 	sys.run(warmUp)
 	c := &change{
-		system:  sys,
-		order:   slices.Clone(sys.names),
-		lastOwn: make(map[string]time.Time),
-		behind:  make(map[string]bool),
-		served:  make(map[string]int),
+		system:    sys,
+		order:     slices.Clone(sys.names),
+		lastFetch: make(map[string]time.Time),
+		outdated:  make(map[string]bool),
+		served:    make(map[string]int),
 	}
 	pick := rand.New(rand.NewPCG(changeSeed, 0))
 	pick.Shuffle(len(c.order), func(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] })
 	for _, name := range c.order {
-		c.behind[name] = true
-		c.lastOwn[name] = sys.now.Add(-time.Duration(pick.Int64N(int64(backupPeriod))))
+		c.outdated[name] = true
+		c.lastFetch[name] = sys.now.Add(-time.Duration(pick.Int64N(int64(backupPeriod))))
 	}
 	return c
 }
 
-// lookAll lets every daemon look once and send its heartbeats.
-func (c *change) lookAll() {
+// checkAll lets every daemon check for the change and send its heartbeats once.
+func (c *change) checkAll() {
 	begin := c.now
 	step := period / time.Duration(len(c.order))
 	for k, name := range c.order {
 		c.now = begin.Add(time.Duration(k) * step)
-		c.look(name)
+		c.check(name)
 		c.tick(name)
 	}
 	c.now = begin.Add(period)
 }
 
-func (c *change) look(name string) {
+func (c *change) check(name string) {
 	table := c.tables[name]
 	if version, from, ok := table.NewestVersion(c.now); ok && version == newVersion {
 		c.served[from.Name]++
-		c.take(name)
+		c.applyVersion(name)
 	}
 	self, _ := table.Peer(name)
-	speaker, known := table.Representative(c.now, self.Place)
-	speaks := !known || speaker.Name == name
-	if !speaks && c.now.Sub(c.lastOwn[name]) < backupPeriod {
+	representative, known := table.Representative(c.now, self.Place)
+	represents := !known || representative.Name == name
+	if !represents && c.now.Sub(c.lastFetch[name]) < backupPeriod {
 		return
 	}
-	c.lastOwn[name] = c.now
+	c.lastFetch[name] = c.now
 	c.fetches++
-	if !c.behind[name] {
+	if !c.outdated[name] {
 		return
 	}
 	c.documents++
-	if speaks {
-		c.speakers++
+	if represents {
+		c.representatives++
 	}
-	c.take(name)
+	c.applyVersion(name)
 }
 
-// take puts the change in force and tells others of it at once.
-func (c *change) take(name string) {
-	delete(c.behind, name)
+// applyVersion puts the change in force at a daemon, which sends heartbeats with
+// the new version at once.
+func (c *change) applyVersion(name string) {
+	delete(c.outdated, name)
 	c.tables[name].SetVersion(newVersion)
 	c.tick(name)
 }
--- a/internal/measure/controlcost/fetch.go
+++ b/internal/measure/controlcost/fetch.go
@@ -22,20 +22,24 @@
 )
 
 const (
-	// fetchers is the number of clients that fetch at once.
+	// fetchers is the number of concurrent clients.
 	fetchers = 16
-	// pollsEach and documentsEach are the fetches of one client.
+	// pollsEach and documentsEach are the numbers of fetches per client, without
+	// and with a document in the answer.
 	pollsEach     = 1000
 	documentsEach = 30
-	// voteLimit bounds the wait for the member's own vote.
+	// voteLimit bounds the time to accept the first document, for which the single
+	// member needs only its own vote.
 	voteLimit = 5 * time.Second
 )
 
-// fetchCase is a kind of fetch.
+// fetchCase is one kind of fetch: with the size of the document and the number
+// of entry reports in the request.
 type fetchCase struct {
 	documentKB, reports int
-	// behind says that the asker needs the document.
-	behind bool
+	// needsDocument reports whether the client lacks the document, so that the
+	// answer contains it.
+	needsDocument bool
 }
 
 func fetchCases() []fetchCase {
@@ -46,24 +50,25 @@
 	return cases
 }
 
-// fetchCost is what one fetch costs.
+// fetchCost is the cost of one fetch. in and out are the bytes of the request
+// and of the answer.
 type fetchCost struct {
 	fetchCase
 	in, out int
-	// handler is the processor time of the answer and its encoding alone; both
-	// is that of the member and of the asker together, over gRPC on loopback.
-	handler, both time.Duration
+	// handler is the processor time of making and encoding the answer; total is
+	// that of the member and the client together, over gRPC on loopback.
+	handler, total time.Duration
 }
 
 func (c fetchCost) row() string {
-	return fmt.Sprintf("| %t | %d | %d | %d | %d | %.1f | %.1f |", c.behind, c.documentKB, c.reports, c.in, c.out,
-		float64(c.handler.Nanoseconds())/1e3, float64(c.both.Nanoseconds())/1e3)
+	return fmt.Sprintf("| %t | %d | %d | %d | %d | %.1f | %.1f |", c.needsDocument, c.documentKB, c.reports, c.in, c.out,
+		float64(c.handler.Nanoseconds())/1e3, float64(c.total.Nanoseconds())/1e3)
 }
 
-// printFetches measures all cases at one control member and prints them with
-// their slopes.
+// printFetches measures all cases, each with its own control member, and prints
+// them with their slopes.
 func printFetches(w io.Writer) error {
-	_, _ = fmt.Fprintln(w, "| needs the document | document KB | reports | bytes in | bytes out | handler µs | member and asker µs |")
+	_, _ = fmt.Fprintln(w, "| needs the document | document KB | reports | bytes in | bytes out | handler µs | member and client µs |")
 	_, _ = fmt.Fprintln(w, "|---|---|---|---|---|---|---|")
 	var polls, documents []fetchCost
 	for _, c := range fetchCases() {
@@ -72,7 +77,7 @@
 			return err
 		}
 		_, _ = fmt.Fprintln(w, cost.row())
-		if c.behind {
+		if c.needsDocument {
 			documents = append(documents, cost)
 		} else {
 			polls = append(polls, cost)
@@ -87,25 +92,25 @@
 }
 
 func printFetchSlope(w io.Writer, what string, costs []fetchCost, axis func(fetchCost) float64) error {
-	var xs, handler, both []float64
+	var xs, handler, total []float64
 	for _, c := range costs {
 		xs = append(xs, axis(c))
 		handler = append(handler, float64(c.handler.Nanoseconds())/1e3)
-		both = append(both, float64(c.both.Nanoseconds())/1e3)
+		total = append(total, float64(c.total.Nanoseconds())/1e3)
 	}
 	own, err := leastSquares(xs, handler)
 	if err != nil {
 		return err
 	}
-	all, err := leastSquares(xs, both)
+	all, err := leastSquares(xs, total)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(w, "- slope per %s: handler %.2f µs, member and asker %.2f µs\n", what, own, all)
+	_, err = fmt.Fprintf(w, "- slope per %s: handler %.2f µs, member and client %.2f µs\n", what, own, all)
 	return err
 }
 
-// measureFetch runs one member with a document and fetches from it.
+// measureFetch starts a member with a document and fetches from it.
 func measureFetch(c fetchCase) (fetchCost, error) {
 	member, err := startMember(c.documentKB * kilobyte)
 	if err != nil {
@@ -114,7 +119,7 @@
 	defer member.stop()
 	query := port.FetchQuery{Have: 1}
 	each := pollsEach
-	if c.behind {
+	if c.needsDocument {
 		query.Have, each = 0, documentsEach
 	}
 	request := &registerv1.FetchRequest{HaveVersion: query.Have}
@@ -129,11 +134,11 @@
 	if cost.handler, cost.out, err = member.handle(request, each); err != nil {
 		return fetchCost{}, err
 	}
-	cost.both, err = member.fetch(query, each)
+	cost.total, err = member.fetch(query, each)
 	return cost, err
 }
 
-// member is a control member on loopback with one document.
+// member is the only member of a control group, on loopback, with one document.
 type member struct {
 	server  *registergrpc.Server
 	address string
@@ -188,8 +193,8 @@
 	return err
 }
 
-// handle answers without a network, and returns the processor time of one
-// answer with its encoding, and its bytes.
+// handle calls the server's handler without a network. It returns the processor
+// time of making and encoding one answer, and the answer's size in bytes.
 func (m *member) handle(request *registerv1.FetchRequest, each int) (time.Duration, int, error) {
 	var encoded []byte
 	n := each * fetchers
@@ -207,8 +212,8 @@
 	return (processorTime() - begin) / time.Duration(n), len(encoded), nil
 }
 
-// fetch lets all clients fetch at once, each over its own connection, and
-// returns the processor time of one fetch at both ends.
+// fetch lets all clients fetch concurrently, each over its own connection, and
+// returns the processor time of one fetch at client and member together.
 func (m *member) fetch(query port.FetchQuery, each int) (time.Duration, error) {
 	clients := make([]*peergrpc.ControlClient, fetchers)
 	for i := range clients {
--- a/internal/measure/controlcost/main.go
+++ b/internal/measure/controlcost/main.go
@@ -1,12 +1,13 @@
-// Command controlcost measures what control costs, in one process.
+// Command controlcost measures the cost of the control plane in one process. A
+// daemon here is the process of an entry.
 //
-// Membership is run as the tables of whole systems in simulated time: messages
-// and bytes per second, processor time and memory of one daemon, over the number
-// of daemons in a place and the number of places. A change is followed on its
-// way to all daemons of such systems: how many ask a control VM for the document
-// and how many a peer. A fetch is run against one control member over gRPC.
-// Bytes are those of the protobuf encoding, without the frames of gRPC, TCP and
-// IP.
+// For membership, it runs the membership tables of whole systems in simulated
+// time. It reports the messages and bytes per second, processor time and memory
+// of one daemon, for several numbers of daemons in a place and of places. For a
+// change, it follows the propagation to all daemons of such systems and reports
+// how many of them get the document from a control VM and how many from a peer.
+// For a fetch, it calls one control member over gRPC. Bytes are those of the
+// protobuf encoding, without the frames of gRPC, TCP and IP.
 package main
 
 import (
@@ -18,12 +19,12 @@
 )
 
 func main() {
-	seconds := flag.Int("seconds", 20, "simulated seconds that are measured")
-	full := flag.Bool("full", false, "run 75 places with 63 daemons each, and no other size")
-	services := flag.Int("services", 8, "services with endpoints in each place")
-	interest := flag.Int("interest", 8, "places followed beyond the own region; 0 follows all")
-	only := flag.String("only", "", "membership, change or fetch; all when empty")
-	page := flag.String("append", "", "the file that the tables are added to besides the standard output")
+	seconds := flag.Int("seconds", 20, "simulated seconds to measure")
+	full := flag.Bool("full", false, "measure only a system of 75 places with 63 daemons each")
+	services := flag.Int("services", 8, "number of services with endpoints in each place")
+	interest := flag.Int("interest", 8, "length of each daemon's list of places to follow beyond its own region; 0 follows all")
+	only := flag.String("only", "", "the part to run: membership, change or fetch; empty runs all")
+	page := flag.String("append", "", "a file to append the tables to, in addition to the standard output")
 	flag.Parse()
 
 	o := options{seconds: *seconds, services: *services, interest: *interest}
@@ -37,7 +38,8 @@
 	}
 }
 
-// run prints the parts that are wanted, and adds them to a page if one is named.
+// run runs the selected parts and prints their tables to the standard output
+// and, unless page is empty, appends them to that file.
 func run(page, only string, sizes []size, o options) (err error) {
 	out := io.Writer(os.Stdout)
 	if page != "" {
@@ -52,9 +54,9 @@
 		name, title string
 		run         func() error
 	}{
-		{"membership", "What membership costs one daemon", func() error { return printMembership(out, sizes, o) }},
-		{"change", "The way of a change to all daemons", func() error { return printChanges(out, sizes, o) }},
-		{"fetch", "What a fetch costs a control VM", func() error { return printFetches(out) }},
+		{"membership", "Cost of membership per daemon", func() error { return printMembership(out, sizes, o) }},
+		{"change", "Propagation of a change to all daemons", func() error { return printChanges(out, sizes, o) }},
+		{"fetch", "Cost of a fetch at a control VM", func() error { return printFetches(out) }},
 	}
 	for _, part := range parts {
 		if only != "" && only != part.name {
@@ -70,22 +72,22 @@
 	return nil
 }
 
-// line prints one line.
-func line(w io.Writer, text string) error {
+// printLine prints a text and a newline.
+func printLine(w io.Writer, text string) error {
 	_, err := fmt.Fprintln(w, text)
 	return err
 }
 
 func printMembership(w io.Writer, sizes []size, o options) error {
-	const head = "| places | daemons a place | daemons | messages/s | bytes/s out | bytes/s in | CPU % of a core | heap KB | directory KB | owner known % | version everywhere s |\n" +
+	const head = "| places | daemons per place | daemons | messages/s | bytes/s out | bytes/s in | CPU % of a core | heap KB | directory KB | owner known % | version known everywhere after s |\n" +
 		"|---|---|---|---|---|---|---|---|---|---|---|"
-	if err := line(w, head); err != nil {
+	if err := printLine(w, head); err != nil {
 		return err
 	}
 	var costs []cost
 	for _, s := range sizes {
 		c := measure(s, o)
-		if err := line(w, c.row()); err != nil {
+		if err := printLine(w, c.row()); err != nil {
 			return err
 		}
 		costs = append(costs, c)
@@ -97,13 +99,13 @@
 }
 
 func printChanges(w io.Writer, sizes []size, o options) error {
-	const head = "| places | daemons a place | daemons | fetches at control VMs | with the document | of these by speakers | most documents from one daemon | half have it s | all have it s |\n" +
+	const head = "| places | daemons per place | daemons | fetches from control VMs | of these with the document | of these by representatives | most documents sent by one daemon | half have it after s | all have it after s |\n" +
 		"|---|---|---|---|---|---|---|---|---|"
-	if err := line(w, head); err != nil {
+	if err := printLine(w, head); err != nil {
 		return err
 	}
 	for _, s := range sizes {
-		if err := line(w, measureChange(s, o).row()); err != nil {
+		if err := printLine(w, measureChange(s, o).row()); err != nil {
 			return err
 		}
 	}
--- a/internal/measure/controlcost/slopes.go
+++ b/internal/measure/controlcost/slopes.go
@@ -6,10 +6,10 @@
 	"io"
 )
 
-var errNoSlope = errors.New("too few sizes for a slope")
+var errNoSlope = errors.New("a slope needs at least two sizes")
 
-// printSlopes prints how each cost grows with the daemons in a place and with
-// the number of places, by least squares.
+// printSlopes prints the growth of each cost per daemon in a place and per
+// place, by least squares.
 func printSlopes(w io.Writer, costs []cost) error {
 	if _, err := fmt.Fprintln(w); err != nil {
 		return err
@@ -19,7 +19,7 @@
 	if err := printSlope(w, "daemon in a place, at 6 places", costs, perPlace); err != nil {
 		return err
 	}
-	return printSlope(w, "place, at 16 daemons a place", costs, places)
+	return printSlope(w, "place, at 16 daemons per place", costs, places)
 }
 
 func printSlope(w io.Writer, what string, costs []cost, axis func(cost) (float64, bool)) error {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// leastSquares returns the slope of the line through the points.
+// leastSquares returns the slope of the least-squares line through the points.
 func leastSquares(xs, ys []float64) (float64, error) {
 	if len(xs) < 2 {
 		return 0, errNoSlope
--- a/internal/measure/controlcost/system.go
+++ b/internal/measure/controlcost/system.go
@@ -23,20 +23,23 @@
 // size is the size of a system.
 type size struct{ places, perPlace int }
 
-// options are the same for all sizes.
+// options apply to all sizes: the measured simulated seconds, the number of
+// services in each place, and the length of a daemon's list of places to follow.
 type options struct{ seconds, services, interest int }
 
-// cost is what one daemon spends on average.
+// cost is the average cost of one daemon. Messages, and the bytes out and in,
+// are per second.
 type cost struct {
 	size
 	messages, out, in float64
 	cpuPercent        float64
 	heapKB            float64
 	directoryKB       float64
-	// ownerKnown is the part of the groups of followed places whose acting
-	// owner a daemon names, in percent.
+	// ownerKnown is the percentage of the groups of followed places for which a
+	// daemon's table names the acting owner.
 	ownerKnown float64
-	// spread is the time until every daemon knows of a new version.
+	// spread is the simulated time until every daemon has received a new version
+	// number.
 	spread time.Duration
 }
 
@@ -46,7 +49,8 @@
 		c.ownerKnown, c.spread.Seconds())
 }
 
-// system is the tables of all daemons and what they have sent.
+// system holds the membership tables of all daemons and counts the messages and
+// bytes that they send.
 type system struct {
 	now      time.Time
 	names    []string
@@ -57,8 +61,8 @@
 	bytes    int
 }
 
-// measure runs a system and returns the cost of one daemon. Each message is
-// counted once where it leaves and once where it arrives.
+// measure runs a system and returns the cost of one daemon. Each message counts
+// twice: once at its sender and once at its receiver.
 func measure(s size, o options) cost {
 	empty := heap()
 	dir := membership.NewDirectory(peersOf(s), cellSize)
@@ -86,7 +90,8 @@
 	}
 }
 
-// ownerKnown asks every daemon who owns the groups of the places it follows.
+// ownerKnown compares the owners that every daemon's table names for the groups
+// of the places on its list with the daemons that act as owners.
 func (sys *system) ownerKnown(s size, o options) float64 {
 	asked, right := 0, 0
 	for i, name := range sys.names {
@@ -108,7 +113,8 @@
 	return 100 * float64(right) / float64(max(1, asked))
 }
 
-// spread gives one daemon a new version and runs until all know of it.
+// spread sets a new version at one daemon and runs until all daemons have
+// received it, for at most a minute.
 func (sys *system) spread() time.Duration {
 	const version = 9999
 	sys.tables[sys.names[0]].SetVersion(version)
@@ -179,7 +185,9 @@
 	return sys
 }
 
-// interestOf names the next places in the order of their numbers.
+// interestOf returns the places that a daemon of the given place follows beyond
+// its region: every placesPerRegion-th one in the order of their numbers,
+// beginning with its own. Nil means all places.
 func interestOf(s size, o options, place int) []string {
 	if o.interest == 0 || o.interest >= s.places {
 		return nil
@@ -199,7 +207,8 @@
 	return places
 }
 
-// run advances simulated time; the daemons' ticks are spread over the period.
+// run advances simulated time; the ticks of the daemons are distributed evenly
+// over the period.
 func (sys *system) run(d time.Duration) {
 	step := period / time.Duration(len(sys.names))
 	for range int(d / period) {
@@ -242,7 +251,7 @@
 	sys.bytes += proto.Size(encode(hb))
 }
 
-// encode is the message as entries send it.
+// encode returns the protobuf message that entries send for a heartbeat.
 func encode(hb membership.Heartbeat) *peerv1.HeartbeatRequest {
 	m := &peerv1.HeartbeatRequest{From: hb.From}
 	for _, r := range hb.Members {
@@ -263,7 +272,7 @@
 	return m
 }
 
-// heap returns the bytes of live objects.
+// heap returns the size of the live heap in bytes, after a garbage collection.
 func heap() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
