--- a/internal/measure/baseline.go
+++ b/internal/measure/baseline.go
@@ -9,48 +9,49 @@
 )
 
 const (
-	// baselineTries bounds the endpoints that a baseline tries for a request.
+	// baselineTries bounds the number of endpoints that a baseline tries for a
+	// request.
 	baselineTries = 3
-	// silentAfter is the time without a report after which a baseline forgets
-	// an endpoint.
-	silentAfter = 3 * time.Second
+	// reportTimeout is the time without a report after which a baseline no longer
+	// uses an endpoint.
+	reportTimeout = 3 * time.Second
 )
 
-// baseline picks an endpoint in the nearest place that has any: at random, or
-// the one with the least reported load. It tries others after a shed or a
-// failure, and knows neither caps nor reserves nor queues.
+// baseline chooses an endpoint in the nearest places that have any: at random, or
+// with the least reported load. It tries others after a shed or a failure, and
+// uses neither caps nor reserves nor queues.
 type baseline struct {
 	w         *world
 	leastLoad bool
-	heard     map[*endpoint]report
+	reports   map[*endpoint]report
 }
 
-// report is what a baseline last heard of an endpoint.
+// report is the last report that a baseline received from an endpoint.
 type report struct {
 	at   time.Duration
 	load float64
 }
 
 func newRandomBaseline(w *world) policy {
-	return &baseline{w: w, heard: map[*endpoint]report{}}
+	return &baseline{w: w, reports: map[*endpoint]report{}}
 }
 
 func newLeastLoadBaseline(w *world) policy {
-	return &baseline{w: w, leastLoad: true, heard: map[*endpoint]report{}}
+	return &baseline{w: w, leastLoad: true, reports: map[*endpoint]report{}}
 }
 
 func (b *baseline) announce(e *endpoint, a admission.Announcement) {
-	b.heard[e] = report{b.w.now, a.Load}
+	b.reports[e] = report{b.w.now, a.Load}
 }
 
 func (b *baseline) queued(int) int                 { return 0 }
-func (b *baseline) lost(int)                       {}
-func (b *baseline) back(int)                       {}
+func (b *baseline) placeFailed(int)                {}
+func (b *baseline) placeRestored(int)              {}
 func (b *baseline) reconfigure(*document.Document) {}
 
 func (b *baseline) handle(r *request) { b.try(r, nil) }
 
-// try sends the request to one endpoint that was not tried.
+// try sends the request to an endpoint that was not tried yet.
 func (b *baseline) try(r *request, tried []*endpoint) {
 	e := b.pick(r, tried)
 	if e == nil || len(tried) >= baselineTries {
@@ -59,7 +60,7 @@
 	}
 	tried = append(tried, e)
 	if e.place != r.origin {
-		b.w.record.moved(r.service, r.origin, e.place)
+		b.w.record.recordMove(r.service, r.origin, e.place)
 	}
 	trip := b.w.oneWay(r.origin, e.place)
 	b.w.after(trip, func() {
@@ -104,8 +105,8 @@
 }
 
 func (b *baseline) known(e *endpoint) bool {
-	heard, ok := b.heard[e]
-	return ok && b.w.now-heard.at <= silentAfter && !b.w.drained(e.place)
+	last, ok := b.reports[e]
+	return ok && b.w.now-last.at <= reportTimeout && !b.w.drained(e.place)
 }
 
 func (b *baseline) distance(from, to int) int {
@@ -119,12 +120,12 @@
 	}
 }
 
-// least keeps the endpoints with the least reported load.
+// least returns the endpoints with the lowest reported load.
 func (b *baseline) least(endpoints []*endpoint) []*endpoint {
 	lowest := 2.0
 	var least []*endpoint
 	for _, e := range endpoints {
-		load := b.heard[e].load
+		load := b.reports[e].load
 		if load < lowest {
 			lowest = load
 			least = nil
--- a/internal/measure/cmd/measure/main.go
+++ b/internal/measure/cmd/measure/main.go
@@ -1,5 +1,6 @@
-// Command measure compares the steering policy with baselines, measures the
-// cost of look-ups and decisions, and writes both as a Markdown page.
+// Command measure compares the steering policy with two baselines, measures the
+// cost of look-ups and decisions and the usable fraction of a shared cap, and
+// writes the results as a Markdown page.
 package main
 
 import (
@@ -14,21 +15,21 @@
 )
 
 func main() {
-	commit := flag.String("commit", "unknown", "the commit that is measured")
-	out := flag.String("out", "", "the file to write besides the standard output")
+	commit := flag.String("commit", "unknown", "the commit to name on the page")
+	out := flag.String("out", "", "a file to write in addition to the standard output")
 	seed := flag.Uint64("seed", 1, "the seed of the simulations")
-	parallel := flag.Int("parallel", 4, "the number of simulations at once")
+	parallel := flag.Int("parallel", 4, "the maximum number of concurrent simulations")
 	flag.Parse()
 	page := write(*commit, *seed, *parallel)
 	if _, err := os.Stdout.Write(page); err != nil {
-		slog.Error("can't print the page", "error", err)
+		slog.Error("can't write the page to the standard output", "error", err)
 		os.Exit(1)
 	}
 	if *out == "" {
 		return
 	}
 	if err := os.WriteFile(*out, page, 0o644); err != nil { //nolint:gosec // a page for everybody
-		slog.Error("can't write the page", "error", err)
+		slog.Error("can't write the page to its file", "error", err)
 		os.Exit(1)
 	}
 }
--- a/internal/measure/compare.go
+++ b/internal/measure/compare.go
@@ -4,35 +4,36 @@
 	"time"
 )
 
-// Outcome is what one policy did in one scenario.
+// Outcome is the result of one policy in one scenario.
 type Outcome struct {
 	// Policy names the policy.
 	Policy string
-	// P50 and P99 are latencies as callers see them, of answered requests.
+	// P50 and P99 are the latencies of answered requests as callers see them.
 	P50, P99 time.Duration
 	// AllP95 is the latency within which 95% of all requests were answered; 0
 	// when fewer were.
 	AllP95 time.Duration
-	// InTime is the part of all requests that was answered in time.
+	// InTime is the fraction of all requests that were answered in time.
 	InTime float64
-	// Spared is the same for the places that the fault does not touch.
-	Spared float64
-	// SparedP99 is P99 for those places.
-	SparedP99 time.Duration
-	// Headroom is the lowest part of free slots in any second, per region.
+	// Unaffected is InTime for the places that the fault doesn't affect.
+	Unaffected float64
+	// UnaffectedP99 is P99 for those places.
+	UnaffectedP99 time.Duration
+	// Headroom is the lowest fraction of free slots in any second, per region. It
+	// is negative when more requests wait than slots are free.
 	Headroom []float64
-	// CapUse is the largest part of a rule's cap that was used in any second.
+	// CapUse is the largest fraction of a rule's cap that was used in any second.
 	CapUse float64
-	// Drain is the time from the drain until the place runs less than a
-	// hundredth of what it ran before, for good; negative when it doesn't get
-	// there, 0 for no drain.
+	// Drain is the time from the drain until the place starts less than a
+	// hundredth of the requests that it started before, in every later second. It
+	// is negative when that isn't reached and 0 when the scenario has no drain.
 	Drain time.Duration
-	// Left is the part of its work that a drained place still runs in the last
-	// seconds.
+	// Left is the fraction of its earlier requests that a drained place still
+	// starts in the last seconds of the simulation.
 	Left float64
-	// Before and After are goodput before a fault and after what was lost came
-	// back; Recovery is the time until goodput stayed above 95% of before, and
-	// negative when it did not.
+	// Before is the goodput before a fault and After that at the end, when its
+	// cause is gone. Recovery is the time from the end of the cause until goodput
+	// stayed at or above 95% of Before; it is negative when that isn't reached.
 	Before, After float64
 	Recovery      time.Duration
 }
@@ -41,7 +42,8 @@
 type Row struct {
 	// Scenario names the row.
 	Scenario string
-	// Outcomes are of the two baselines and of the policy, in this order.
+	// Outcomes are those of the two baselines and of the policy under test, in
+	// this order.
 	Outcomes []Outcome
 }
 
@@ -58,8 +60,8 @@
 	}
 }
 
-// Compare runs every scenario with every policy on the same seeds, with up to
-// parallel simulations at once.
+// Compare runs every scenario with every policy on the same seed, up to parallel
+// simulations at a time.
 func Compare(op Operation, seed uint64, parallel int) []Row {
 	rows := make([]Row, len(scenarios()))
 	slots := make(chan struct{}, parallel)
@@ -88,35 +90,35 @@
 	w := newWorld(op, seed, p.make)
 	w.record.drain = sc.drain
 	w.record.starts = make([]int, int(sc.until/startBucket)+1)
-	for _, place := range sc.hit {
-		w.record.hit[place] = true
+	for _, place := range sc.affected {
+		w.record.affected[place] = true
 	}
-	sc.set(w)
+	sc.setUp(w)
 	w.run(sc.until)
 	r := w.record
 	o := Outcome{
-		Policy:    p.name,
-		P50:       quantile(r.latencies, 0.5),
-		P99:       quantile(r.latencies, 0.99),
-		SparedP99: quantile(r.untouched, 0.99),
-		AllP95:    r.quantileOfAll(0.95),
-		InTime:    float64(r.ends) / float64(r.offers),
-		Spared:    float64(r.spared[1]) / float64(r.spared[0]),
-		Headroom:  r.headroom,
-		CapUse:    r.capUse(),
+		Policy:        p.name,
+		P50:           quantile(r.latencies, 0.5),
+		P99:           quantile(r.latencies, 0.99),
+		UnaffectedP99: quantile(r.unaffectedLatencies, 0.99),
+		AllP95:        r.quantileOfAll(0.95),
+		InTime:        float64(r.inTime) / float64(r.offers),
+		Unaffected:    float64(r.unaffected[1]) / float64(r.unaffected[0]),
+		Headroom:      r.headroom,
+		CapUse:        r.capUse(),
 	}
 	if sc.drain >= 0 {
 		o.Drain, o.Left = r.drainTime(sc)
 	}
-	if sc.recovers > 0 {
+	if sc.recoversAt > 0 {
 		o.Before, o.After, o.Recovery = r.recovery(sc)
 	}
 	return o
 }
 
-// drainTime is the time from the fault until a place starts less than a
-// hundredth of the requests that it started before, in every later second; and
-// the part of its work that it still starts in the last seconds.
+// drainTime returns Outcome.Drain and Outcome.Left: the time from the fault until
+// a place starts less than a hundredth of the requests that it started before, in
+// every later second, and the fraction that it still starts in the last seconds.
 func (r *record) drainTime(sc scenario) (time.Duration, float64) {
 	from := int(faultAt / startBucket)
 	end := int(sc.until / startBucket)
@@ -133,7 +135,7 @@
 	return max(startBucket, time.Duration(quiet-from)*startBucket), left
 }
 
-// startRate is the mean number of requests that started in a bucket.
+// startRate returns the mean number of requests that started per bucket.
 func (r *record) startRate(from, to int) float64 {
 	sum := 0
 	for _, n := range r.starts[from:to] {
@@ -142,12 +144,13 @@
 	return float64(sum) / float64(to-from)
 }
 
-// recovery compares goodput before the fault with that after the cause is gone.
-// The last second is left out, because its requests may still run.
+// recovery returns the goodput before the fault, the goodput at the end, and the
+// time that goodput took to recover after the cause ended. The last two seconds
+// are left out, because their requests may still run.
 func (r *record) recovery(sc scenario) (before, after float64, took time.Duration) {
 	before = r.goodput(int(warmUp/time.Second), int(faultAt/time.Second))
 	end := int(sc.until/time.Second) - 2
-	from := int(sc.recovers / time.Second)
+	from := int(sc.recoversAt / time.Second)
 	after = r.goodput(end-10, end)
 	good := end
 	for good > from && r.goodput(good-1, good) >= 0.95*before {
--- a/internal/measure/endpoint.go
+++ b/internal/measure/endpoint.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// coldFactor is how many times longer a request takes on a cold cache.
+	// coldFactor is the factor by which a cold cache slows a request down.
 	coldFactor = 3
-	// warmAfter is the number of requests of one place of origin after which an
-	// endpoint's cache for it is warm to a third.
+	// warmAfter is the number of requests from one place of origin after which the
+	// slowdown by an endpoint's cold cache has decayed to 1/e, about a third.
 	warmAfter = 100
-	// dialTimeout is the time after which a dial to a lost VM is given up.
+	// dialTimeout is the time after which a dial to a failed VM or endpoint fails.
 	dialTimeout = 200 * time.Millisecond
 )
 
 // job is one attempt of a request on an endpoint.
 type job struct {
 	request *request
-	begun   time.Duration // handed to the endpoint
+	begun   time.Duration // time at which the endpoint received it
 	end     func(admission.ResultKind)
 }
 
-// endpoint is a server with slots, a short queue of its own and a cache that
-// is cold for each place of origin.
+// endpoint is a server with slots, a queue as long as its number of slots, and a
+// cache that warms separately for each place of origin.
 type endpoint struct {
 	w           *world
 	id          string
 	service     int
 	place       int
 	slots       int
-	slow        float64 // multiplies the work
-	lie         lie
+	slowdown    float64 // factor on the work of requests
+	mode        reportMode
 	alive       bool
 	incarnation uint64
 	sequence    uint64
@@ -43,28 +43,29 @@
 	served      []float64 // per place of origin
 }
 
-// lie is what an endpoint reports in place of its load.
-type lie uint8
+// reportMode says whether an endpoint reports its real load or a false one.
+type reportMode uint8
 
 const (
-	truthful lie = iota
-	saysIdle
-	saysFull
+	reportsLoad reportMode = iota
+	reportsIdle
+	reportsFull
 )
 
-// load is the load that the endpoint reports.
+// load returns the load that the endpoint reports, from 0 to 1.
 func (e *endpoint) load() float64 {
-	switch e.lie {
-	case saysIdle:
+	switch e.mode {
+	case reportsIdle:
 		return 0
-	case saysFull:
+	case reportsFull:
 		return 1
 	default:
 		return min(1, float64(len(e.running)+len(e.waiting))/float64(e.slots))
 	}
 }
 
-// serve takes in a job: it runs, waits or is shed.
+// serve receives a job: it runs, waits or is shed. At a failed endpoint it fails
+// after dialTimeout.
 func (e *endpoint) serve(j *job) {
 	j.begun = e.w.now
 	switch {
@@ -79,11 +80,12 @@
 	}
 }
 
-// start runs a job. One that can't end by its deadline is cancelled then.
+// start runs a job. A job that can't end by its deadline is cancelled at the
+// deadline.
 func (e *endpoint) start(j *job) {
 	e.running[j] = struct{}{}
-	e.w.record.started(e.place)
-	work := time.Duration(float64(e.w.op.services[e.service].work) * j.request.work * e.slow * e.coldness(j.request.origin))
+	e.w.record.recordStart(e.place)
+	work := time.Duration(float64(e.w.op.services[e.service].work) * j.request.work * e.slowdown * e.coldSlowdown(j.request.origin))
 	e.served[j.request.origin]++
 	kind := admission.OK
 	left := j.request.deadline - e.w.now
@@ -93,13 +95,13 @@
 	e.w.after(work, func() { e.finish(j, kind) })
 }
 
-func (e *endpoint) coldness(origin int) float64 {
+func (e *endpoint) coldSlowdown(origin int) float64 {
 	return 1 + (coldFactor-1)*math.Exp(-e.served[origin]/warmAfter)
 }
 
 func (e *endpoint) finish(j *job, kind admission.ResultKind) {
 	if _, ok := e.running[j]; !ok {
-		return // the endpoint died in the meantime
+		return // the endpoint crashed in the meantime
 	}
 	delete(e.running, j)
 	for len(e.running) < e.slots && len(e.waiting) > 0 {
@@ -110,10 +112,10 @@
 	j.end(kind)
 }
 
-// die ends all jobs without an answer.
-func (e *endpoint) die() {
+// crash fails all waiting and running jobs.
+func (e *endpoint) crash() {
 	e.alive = false
-	lost := slices.Concat(e.waiting, e.order())
+	lost := slices.Concat(e.waiting, e.runningInOrder())
 	e.waiting = nil
 	clear(e.running)
 	for _, j := range lost {
@@ -121,8 +123,8 @@
 	}
 }
 
-// order returns the running jobs in the order of arrival.
-func (e *endpoint) order() []*job {
+// runningInOrder returns the running jobs in the order of arrival.
+func (e *endpoint) runningInOrder() []*job {
 	jobs := make([]*job, 0, len(e.running))
 	for j := range e.running {
 		jobs = append(jobs, j)
@@ -131,7 +133,7 @@
 	return jobs
 }
 
-// restart begins a new incarnation with cold caches.
+// restart starts a new incarnation with cold caches.
 func (e *endpoint) restart() {
 	e.alive = true
 	e.incarnation++
--- a/internal/measure/events.go
+++ b/internal/measure/events.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// event is a call at a moment of simulated time.
+// event is a function call at a point in simulated time.
 type event struct {
 	at    time.Duration
-	order uint64 // breaks ties by the order of planning
+	order uint64 // breaks ties by the order of scheduling
 	call  func()
 }
 
@@ -36,25 +36,25 @@
 	return last
 }
 
-// schedule is the clock and the queue of events of one simulation.
+// schedule is the clock and the event queue of one simulation.
 type schedule struct {
 	now   time.Duration // since the start
 	order uint64
 	queue eventHeap
 }
 
-// epoch is the moment at which simulated time starts.
+// epoch is the time at which simulated time starts.
 var epoch = time.Unix(1_800_000_000, 0)
 
 func (s *schedule) time() time.Time { return epoch.Add(s.now) }
 
-// after plans a call.
+// after schedules a call once d has passed.
 func (s *schedule) after(d time.Duration, call func()) {
 	s.order++
 	heap.Push(&s.queue, event{s.now + d, s.order, call})
 }
 
-// every plans a call again and again, first after offset.
+// every schedules a periodic call, first after offset.
 func (s *schedule) every(offset, period time.Duration, call func()) {
 	s.after(offset, func() {
 		call()
@@ -62,7 +62,7 @@
 	})
 }
 
-// run lets time pass until the given moment.
+// run executes the events up to the given time.
 func (s *schedule) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(event)
--- a/internal/measure/main_test.go
+++ b/internal/measure/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests; the command line may change it.
+// TestMain fixes the seed of property tests. Flags on the command line override
+// it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed":       "1",
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -21,9 +21,9 @@
 	return scenario{}
 }
 
-// slowed is an operation with a fifth of the requests, each five times as long,
-// so that tests are quick.
-func slowed() Operation {
+// slowOperation returns Calibra with a fifth of the requests, each five times as
+// long, so that tests run quickly.
+func slowOperation() Operation {
 	op := Calibra()
 	for i := range op.services {
 		op.services[i].work *= 5
@@ -32,13 +32,14 @@
 	return op
 }
 
-// TestGoodputComesBack checks that goodput is at 95% of before within 30 s
-// after the cause is gone and stays there, and that no cap was passed.
-func TestGoodputComesBack(t *testing.T) {
+// TestGoodputRecovers guards against a policy that stays overloaded after the
+// cause of the overload has ended. Goodput must be back at 95% of its earlier value
+// within 30 s and stay there, and no cap may be exceeded.
+func TestGoodputRecovers(t *testing.T) {
 	for _, name := range []string{"one region lost", "retry storm"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := simulate(slowed(), 1, scenarioNamed(t, name), policies()[2])
+			o := simulate(slowOperation(), 1, scenarioNamed(t, name), policies()[2])
 			is.True(o.Before > 0.99)
 			is.True(o.After >= 0.95*o.Before)
 			is.True(o.Recovery >= 0 && o.Recovery <= 30*time.Second)
@@ -47,21 +48,23 @@
 	}
 }
 
-// TestSparedPlacesDontNotice checks that the places that a fault doesn't touch
-// go on answering their own requests in time.
-func TestSparedPlacesDontNotice(t *testing.T) {
+// TestUnaffectedPlacesServeInTime guards against a fault in one place that
+// degrades others: places that it doesn't affect must still answer more than 99%
+// of their own requests in time, and no cap may be exceeded.
+func TestUnaffectedPlacesServeInTime(t *testing.T) {
 	for _, name := range []string{"one place lost", "drain of a place"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := simulate(slowed(), 1, scenarioNamed(t, name), policies()[2])
-			is.True(o.Spared > 0.99)
+			o := simulate(slowOperation(), 1, scenarioNamed(t, name), policies()[2])
+			is.True(o.Unaffected > 0.99)
 			is.True(o.CapUse > 0 && o.CapUse <= 1)
 		})
 	}
 }
 
-// TestWindowHoldsInAnySecond takes units at random moments and counts those of
-// every second that begins with one of them.
+// TestWindowHoldsInAnySecond guards against windows that admit more than their
+// limit across the edge of two seconds. It takes units at random times and counts
+// those of every second that begins with one of them.
 func TestWindowHoldsInAnySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := window{limit: rapid.IntRange(1, 10).Draw(t, "limit")}
@@ -69,7 +72,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
-			if w.room(now, 1) {
+			if w.fits(now, 1) {
 				w.take(now, 1)
 				taken = append(taken, now)
 			}
@@ -88,7 +91,10 @@
 	})
 }
 
-func TestVerdictOfARow(t *testing.T) {
+// TestComparisonSummary guards against a summary that calls the policy ahead
+// although a baseline is better in a measure that counts, or that counts a
+// measure by which the operation isn't ranked.
+func TestComparisonSummary(t *testing.T) {
 	ours := Outcome{P50: 2, P99: 9, InTime: 0.9, Headroom: []float64{0.2, 0.1}, Drain: time.Second}
 	other := Outcome{Policy: "x", P50: 3, P99: 9, InTime: 0.9, Headroom: []float64{0, 0.5}, Drain: -1, CapUse: 2}
 	faster, spacious, sure, quick := other, other, other, other
@@ -112,12 +118,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := verdictOf(c.op, Row{Outcomes: []Outcome{c.other, c.other, ours}})
+			got := summaryOf(c.op, Row{Outcomes: []Outcome{c.other, c.other, ours}})
 			is.New(t).True(strings.Contains(got, c.want))
 		})
 	}
 }
 
+// TestWriteComparison checks the texts of values that are missing, negative or
+// not reached.
 func TestWriteComparison(t *testing.T) {
 	is := is.New(t)
 	var page bytes.Buffer
--- a/internal/measure/micro.go
+++ b/internal/measure/micro.go
@@ -13,36 +13,36 @@
 	"sassafrasreach/internal/core/steering"
 )
 
-// FullBlocks is the number of client blocks of the full size.
+// FullBlocks is the number of client blocks of a system of full size.
 const FullBlocks = 3_200_000
 
 const (
-	// fullPlaces is the number of places of the full size.
+	// fullPlaces is the number of places of a system of full size.
 	fullPlaces = 75
-	// probes is the number of addresses that look-ups are measured with.
+	// probes is the maximum number of addresses that a measurement looks up.
 	probes = 1 << 20
-	// megabyte is in bytes.
+	// megabyte is the number of bytes in a megabyte.
 	megabyte = 1e6
 )
 
-// LookupCost is what look-ups in a table of client blocks cost.
+// LookupCost is the cost of look-ups in a table of client blocks.
 type LookupCost struct {
-	// Kind says how the blocks lie in the address space.
+	// Kind describes the blocks and their distribution in the address space.
 	Kind string
-	// Blocks counts them.
+	// Blocks is the number of blocks.
 	Blocks int
 	// BytesPerBlock is the live heap of the table per block.
 	BytesPerBlock float64
 	// Megabytes is the live heap of the table.
 	Megabytes float64
-	// Build is the time to build the table, from text.
+	// Build is the time to build the table from blocks given as text.
 	Build time.Duration
-	// PerSecond is the number of look-ups of a place a second on one core.
+	// PerSecond is the number of look-ups per second on one core.
 	PerSecond float64
 }
 
-// Lookups builds tables of count blocks of several kinds and looks
-// addresses up in them.
+// Lookups measures look-ups in tables of count blocks, one table for each kind of
+// block.
 func Lookups(count int) []LookupCost {
 	kinds := []struct {
 		name string
@@ -138,15 +138,15 @@
 type DecisionCost struct {
 	// Rank is the time to rank the places of a service.
 	Rank time.Duration
-	// Answer is the time that admission spends on a request that is granted
-	// and ends.
+	// Answer is the time that admission takes for a request that is granted and
+	// completes.
 	Answer time.Duration
-	// Refusal is the time that it spends on one that is refused.
+	// Refusal is the time that admission takes for a request that is refused.
 	Refusal time.Duration
 }
 
-// Decisions times decisions at the larger of today's sizes: six places,
-// and groups of four endpoints with seven slots.
+// Decisions measures decisions at the larger of the current sizes: six places,
+// and groups of four endpoints with seven slots each.
 func Decisions() DecisionCost {
 	return DecisionCost{Rank: rankCost(), Answer: answerCost(), Refusal: refusalCost()}
 }
@@ -188,7 +188,7 @@
 	return time.Since(begun) / rounds
 }
 
-// refusalCost fills the group and its queue first.
+// refusalCost fills the group and its queue before it measures.
 func refusalCost() time.Duration {
 	now := epoch
 	g := fullGroup(now)
--- a/internal/measure/operation.go
+++ b/internal/measure/operation.go
@@ -6,24 +6,24 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// Operation is a set of places with its services and networks.
+// Operation is one user's deployment: its places, services and networks.
 type Operation struct {
 	// Name identifies the operation.
 	Name string
-	// ByHeadroom says that policies are compared by headroom rather than by
-	// latency.
+	// ByHeadroom selects headroom instead of latency as the measure by which
+	// policies are compared.
 	ByHeadroom bool
 	regions    []string
-	perRegion  [][]string // names of places
+	perRegion  [][]string // names of places, per region
 	services   []workload
 	oneWayNear time.Duration // between places of a region
 	oneWayFar  time.Duration // between regions
-	oneWayUser time.Duration // between callers and their place
+	oneWayUser time.Duration // between callers and their own place
 	linkMbit   int
 	reserve    int // percent, of every region
 }
 
-// workload is a service with its demand.
+// workload is a service with its workers and the work of its requests.
 type workload struct {
 	name     string
 	workers  int
@@ -34,20 +34,20 @@
 }
 
 const (
-	// linkFillPercent is the fill limit of every link.
+	// linkFillPercent is the percentage of every link that may be used.
 	linkFillPercent = 70
-	// nearCapPart and farCapPart are the caps of rules as parts of the
-	// capacity of the place of origin.
+	// nearCapPart and farCapPart are the caps of rules within a region and
+	// between regions, as fractions of the capacity of the place of origin.
 	nearCapPart = 0.5
 	farCapPart  = 0.3
-	// shiftRamp is the ramp of every rule.
+	// shiftRamp is the time over which a shift under any rule grows to its cap.
 	shiftRamp = 5 * time.Second
 	// connectTime is the time to open a connection.
 	connectTime = time.Millisecond
 )
 
-// Hanbit is the operation of the records office at its size of today. The
-// brief gives sizes and delays; the work of a request, its deadline and the
+// Hanbit is the records office's deployment at its current size. Sizes and delays
+// are given by the office; the work of a request, its deadline and the
 // size of an answer are assumptions.
 func Hanbit() Operation {
 	return Operation{
@@ -66,7 +66,7 @@
 	}
 }
 
-// Calibra is the operation of the cooperatives at its size of today.
+// Calibra is the cooperatives' deployment at its current size.
 func Calibra() Operation {
 	return Operation{
 		Name:       "Calibra",
@@ -91,7 +91,9 @@
 	return float64(o.workersIn(w, place)*w.slots) / w.work.Seconds()
 }
 
-// workersIn deals a service's workers over the places.
+// workersIn returns the number of a service's workers in a place. Workers are
+// distributed evenly; the first places get one more when they don't divide
+// evenly.
 func (o Operation) workersIn(w workload, place int) int {
 	places := o.placeCount()
 	count := w.workers / places
@@ -142,10 +144,11 @@
 	return s
 }
 
-// ruleName names the rule that permits a shift.
+// ruleName returns the name of the rule that permits a shift.
 func ruleName(service, from, to string) string { return service + " " + from + " " + to }
 
-// rules permits every place to shift to every other.
+// rules returns the rules that permit every place to shift requests of a service
+// to every other place.
 func (o Operation) rules(w workload, places []document.Place) []document.Rule {
 	var rules []document.Rule
 	for i, from := range places {
--- a/internal/measure/record.go
+++ b/internal/measure/record.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// warmUp is the time at the start of a simulation that isn't counted.
+	// warmUp is the time at the start of a simulation that results leave out.
 	warmUp = 5 * time.Second
-	// loadSample is the time between two looks at the load.
+	// loadSample is the period at which the load is sampled.
 	loadSample = 100 * time.Millisecond
-	// loadWindow is the number of looks that make one value of headroom.
+	// loadWindow is the number of samples averaged into one value of headroom.
 	loadWindow = 10
-	// goodputBucket is the time over which goodput is counted.
+	// goodputBucket is the width of the buckets in which goodput is counted.
 	goodputBucket = time.Second
-	// startBucket is the time over which requests that start in a place are
-	// counted.
+	// startBucket is the width of the buckets in which the requests that start in
+	// a place are counted.
 	startBucket = 50 * time.Millisecond
-	// drainedPart is the part of its work below which a place is drained.
+	// drainedPart is the fraction of its earlier requests below which a place
+	// counts as drained.
 	drainedPart = 0.01
-	// lastSeconds is the time at the end over which the work that is left in a
-	// drained place is counted.
+	// lastSeconds is the number of seconds at the end over which the requests that
+	// still start in a drained place are counted.
 	lastSeconds = 10
 )
 
@@ -30,28 +31,28 @@
 	buckets []int
 }
 
-// record collects what a simulation shows.
+// record collects the figures of a simulation.
 type record struct {
-	w         *world
-	offers    int
-	ends      int // answered in time
-	latencies []time.Duration
-	untouched []time.Duration // latencies in places that the scenario spares
-	offersIn  []int           // per second, by the time of the first try
-	endsIn    []int
-	spared    [2]int // of places that the scenario spares: offered, answered
-	hit       map[int]bool
-	loads     [][]float64 // per region, sums of samples
-	headroom  []float64   // per region, lowest
-	moves     map[string]*move
-	drain     int   // place whose work is counted in starts; -1 for none
-	starts    []int // per startBucket
+	w                   *world
+	offers              int
+	inTime              int // answered in time
+	latencies           []time.Duration
+	unaffectedLatencies []time.Duration // latencies in places that the fault doesn't affect
+	offersPerSecond     []int           // by the time of the first attempt
+	inTimePerSecond     []int
+	unaffected          [2]int // in places that the fault doesn't affect: offered, answered
+	affected            map[int]bool
+	loads               [][]float64 // per region, samples of the current loadWindow
+	headroom            []float64   // per region, lowest
+	moves               map[string]*move
+	drain               int   // place whose started requests are counted; -1 for none
+	starts              []int // per startBucket
 }
 
 func newRecord(w *world) *record {
 	r := &record{
 		w:        w,
-		hit:      map[int]bool{},
+		affected: map[int]bool{},
 		headroom: make([]float64, len(w.op.regions)),
 		loads:    make([][]float64, len(w.op.regions)),
 		moves:    map[string]*move{},
@@ -67,32 +68,32 @@
 	return r
 }
 
-func (r *record) offered(q *request) {
-	r.count(&r.offersIn, q)
+func (r *record) recordOffer(q *request) {
+	r.count(&r.offersPerSecond, q)
 	if q.first < warmUp {
 		return
 	}
 	r.offers++
-	if !r.hit[q.origin] {
-		r.spared[0]++
+	if !r.affected[q.origin] {
+		r.unaffected[0]++
 	}
 }
 
-func (r *record) answered(q *request) {
-	r.count(&r.endsIn, q)
+func (r *record) recordAnswer(q *request) {
+	r.count(&r.inTimePerSecond, q)
 	if q.first < warmUp {
 		return
 	}
-	r.ends++
+	r.inTime++
 	r.latencies = append(r.latencies, r.w.now-q.first)
-	if !r.hit[q.origin] {
-		r.spared[1]++
-		r.untouched = append(r.untouched, r.w.now-q.first)
+	if !r.affected[q.origin] {
+		r.unaffected[1]++
+		r.unaffectedLatencies = append(r.unaffectedLatencies, r.w.now-q.first)
 	}
 }
 
-// started notes that an endpoint of a place started a request.
-func (r *record) started(place int) {
+// recordStart counts a request that an endpoint of a place started.
+func (r *record) recordStart(place int) {
 	if place == r.drain {
 		r.starts[int(r.w.now/startBucket)]++
 	}
@@ -106,8 +107,8 @@
 	(*series)[at]++
 }
 
-// moved notes that a request was sent to another place.
-func (r *record) moved(service, from, to int) {
+// recordMove counts a request that was sent to another place.
+func (r *record) recordMove(service, from, to int) {
 	w := r.w
 	m := r.moves[ruleName(w.op.services[service].name, w.names[from], w.names[to])]
 	at := int(w.now / slot)
@@ -117,7 +118,7 @@
 	m.buckets[at]++
 }
 
-// capUse is the largest part of a cap that was used in any second.
+// capUse returns the largest fraction of a cap that was used in any second.
 func (r *record) capUse() float64 {
 	most := 0.0
 	for _, m := range r.moves {
@@ -133,8 +134,8 @@
 	return most
 }
 
-// sampleLoad looks at how full the regions are: requests that run or wait as a
-// part of the live slots. Above 1 a region has more than it can run.
+// sampleLoad samples the load of the regions: the requests that run or wait as a
+// fraction of the live slots. Above 1, a region has more requests than slots.
 func (r *record) sampleLoad() {
 	w := r.w
 	slots := make([]int, len(w.op.regions))
@@ -171,7 +172,7 @@
 	return sum / float64(len(values))
 }
 
-// quantile sorts latencies and returns one of them.
+// quantile sorts latencies and returns the given quantile, or 0 for none.
 func quantile(latencies []time.Duration, q float64) time.Duration {
 	if len(latencies) == 0 {
 		return 0
@@ -180,23 +181,24 @@
 	return latencies[int(q*float64(len(latencies)-1))]
 }
 
-// quantileOfAll is a quantile that counts requests without an answer as the
-// slowest; 0 when it falls among those.
+// quantileOfAll returns a quantile of the latencies of all requests, where those
+// without an answer count as the slowest; 0 when it falls among them.
 func (r *record) quantileOfAll(q float64) time.Duration {
-	part := q * float64(r.offers) / float64(r.ends)
+	part := q * float64(r.offers) / float64(r.inTime)
 	if part > 1 {
 		return 0
 	}
 	return quantile(r.latencies, part)
 }
 
-// goodput is the part of the requests of some seconds that were answered.
+// goodput returns the fraction of the requests first sent in the given seconds
+// that were answered.
 func (r *record) goodput(from, to int) float64 {
 	offers, ends := 0, 0
-	for i := from; i < to && i < len(r.offersIn); i++ {
-		offers += r.offersIn[i]
-		if i < len(r.endsIn) {
-			ends += r.endsIn[i]
+	for i := from; i < to && i < len(r.offersPerSecond); i++ {
+		offers += r.offersPerSecond[i]
+		if i < len(r.inTimePerSecond) {
+			ends += r.inTimePerSecond[i]
 		}
 	}
 	if offers == 0 {
--- a/internal/measure/report.go
+++ b/internal/measure/report.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// WriteComparison writes the rows of an operation as a Markdown table.
+// WriteComparison writes the results of an operation as Markdown: a table of all
+// outcomes, a summary per scenario, and a table of the recovery of goodput.
 func WriteComparison(out *bytes.Buffer, op Operation, rows []Row) {
 	fmt.Fprintf(out, "## %s\n\n", op.Name)
 	ranked := "latency"
 	if op.ByHeadroom {
 		ranked = "headroom"
 	}
-	fmt.Fprintf(out, "Ranked by %s. Headroom is the lowest of any second, per region (%s).\n\n",
+	fmt.Fprintf(out, "Ranked by %s. Headroom is the lowest value of any second, per region (%s).\n\n",
 		ranked, strings.Join(op.regions, ", "))
-	fmt.Fprintln(out, "| scenario | policy | p50 ms | p99 ms | 95% of all, ms | in time | in time, untouched places | p99 ms, untouched | headroom % | largest cap use % | drain s |")
+	fmt.Fprintln(out, "| scenario | policy | p50 ms | p99 ms | 95% of all, ms | in time | in time, unaffected places | p99 ms, unaffected places | headroom % | largest cap use % | drain s |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, row := range rows {
 		for _, o := range row.Outcomes {
 			fmt.Fprintf(out, "| %s | %s | %s | %s | %s | %.1f%% | %.1f%% | %s | %s | %.0f | %s |\n",
-				row.Scenario, o.Policy, millis(o.P50), millis(o.P99), orNever(o.AllP95), 100*o.InTime, 100*o.Spared,
-				millis(o.SparedP99), percents(o.Headroom), 100*o.CapUse, drainText(o))
+				row.Scenario, o.Policy, millis(o.P50), millis(o.P99), orNever(o.AllP95), 100*o.InTime, 100*o.Unaffected,
+				millis(o.UnaffectedP99), percents(o.Headroom), 100*o.CapUse, drainText(o))
 		}
 	}
-	fmt.Fprintln(out, "\nThis policy against both baselines:")
+	fmt.Fprintln(out, "\nThis policy compared with both baselines:")
 	fmt.Fprintln(out)
 	for _, row := range rows {
-		fmt.Fprintf(out, "- %s: %s\n", row.Scenario, verdictOf(op, row))
+		fmt.Fprintf(out, "- %s: %s\n", row.Scenario, summaryOf(op, row))
 	}
 	fmt.Fprintln(out)
 	writeRecovery(out, rows)
 }
 
 func writeRecovery(out *bytes.Buffer, rows []Row) {
-	fmt.Fprintln(out, "| scenario | policy | goodput before | goodput at the end | at 95% of before after |")
+	fmt.Fprintln(out, "| scenario | policy | goodput before | goodput at the end | time to 95% of the goodput before |")
 	fmt.Fprintln(out, "|---|---|---|---|---|")
 	for _, row := range rows {
 		for _, o := range row.Outcomes {
@@ -53,9 +54,9 @@
 	fmt.Fprintln(out)
 }
 
-// verdictOf says whether the last outcome is ahead of the others, and where it
-// is not, by how much and what stands against it.
-func verdictOf(op Operation, row Row) string {
+// summaryOf says whether the last outcome is ahead of all others. Where it is not,
+// it lists both values and the drawbacks of the other policy.
+func summaryOf(op Operation, row Row) string {
 	ours := row.Outcomes[len(row.Outcomes)-1]
 	var behind []string
 	for _, other := range row.Outcomes[:len(row.Outcomes)-1] {
@@ -64,7 +65,7 @@
 	if len(behind) == 0 {
 		return "ahead."
 	}
-	return "ahead but for: " + strings.Join(behind, "; ") + "."
+	return "ahead except for: " + strings.Join(behind, "; ") + "."
 }
 
 func shortfalls(op Operation, ours, other Outcome) []string {
@@ -89,7 +90,8 @@
 	return behind
 }
 
-// slower compares drain times, of which a negative one has no end.
+// slower reports whether the drain took longer than the other; a negative time
+// means that it was not completed.
 func slower(ours, other time.Duration) bool {
 	return other >= 0 && (ours < 0 || ours > other)
 }
@@ -101,7 +103,7 @@
 	return fmt.Sprintf(", which moved %.1f times a cap", o.CapUse)
 }
 
-// lowest is the headroom of the region that has least.
+// lowest returns the headroom of the region that has the least.
 func lowest(o Outcome) float64 {
 	least := 1.0
 	for _, h := range o.Headroom {
@@ -138,9 +140,9 @@
 	}
 }
 
-// WriteCosts writes what look-ups and decisions cost.
+// WriteCosts writes the costs of look-ups and decisions as Markdown.
 func WriteCosts(out *bytes.Buffer, lookups []LookupCost, d DecisionCost) {
-	fmt.Fprintln(out, "## Look-ups and decisions, one core")
+	fmt.Fprintln(out, "## Cost of look-ups and decisions on one core")
 	fmt.Fprintln(out)
 	fmt.Fprintln(out, "| blocks | count | bytes per block | MB | build s | look-ups/s |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|")
--- a/internal/measure/steered.go
+++ b/internal/measure/steered.go
@@ -15,36 +15,38 @@
 	tickPeriod = 20 * time.Millisecond
 	// publishPeriod is the time between two reports of a group to other places.
 	publishPeriod = 500 * time.Millisecond
-	// deadAfter is the age of a report from which its group counts as dead.
+	// deadAfter is the age of a report from which its group is considered dead.
 	deadAfter = 3 * time.Second
-	// suspectAfter is the number of failed dials in a row after which a place
-	// is taken for dead until it is heard of again.
+	// suspectAfter is the number of consecutive failed dials after which a place is
+	// considered dead until its next report arrives.
 	suspectAfter = 3
 )
 
 // steered is the policy under test: packages steering and admission, with
-// windows in place of the budgets.
+// windows instead of distributed budgets.
 type steered struct {
-	w       *world
-	table   *steering.Table
-	groups  [][]*group // service, place
-	rules   map[string]*window
-	links   map[steering.LinkID]*window
-	byID    map[string]*endpoint
-	budgets []*admission.RetryBudget // per place
-	trusted []time.Duration          // per place: when it was last heard of
-	dials   []int                    // per place: failed in a row
+	w           *world
+	table       *steering.Table
+	groups      [][]*group // service, place
+	rules       map[string]*window
+	links       map[steering.LinkID]*window
+	byID        map[string]*endpoint
+	budgets     []*admission.RetryBudget // per place
+	lastReport  []time.Duration          // per place: arrival of its last report
+	failedDials []int                    // per place: consecutive failed dials
 }
 
-// group is a group with its owner's knowledge and its published state.
+// group is an endpoint group: the owner's admission state and the last report of
+// it that other places received.
 type group struct {
-	adm       *admission.Group
-	pending   map[uint64]*attempt
-	published admission.Stats
-	heard     time.Duration
+	adm        *admission.Group
+	pending    map[uint64]*attempt
+	published  admission.Stats
+	receivedAt time.Duration
 }
 
-// attempt is a request on its way through the choices of its ranking.
+// attempt is a request with the ranking of its places and the index of the next
+// choice.
 type attempt struct {
 	r       *request
 	choices []steering.Choice
@@ -54,12 +56,12 @@
 
 func newSteered(w *world) policy {
 	s := &steered{
-		w:       w,
-		rules:   map[string]*window{},
-		links:   map[steering.LinkID]*window{},
-		byID:    map[string]*endpoint{},
-		trusted: make([]time.Duration, len(w.names)),
-		dials:   make([]int, len(w.names)),
+		w:           w,
+		rules:       map[string]*window{},
+		links:       map[steering.LinkID]*window{},
+		byID:        map[string]*endpoint{},
+		lastReport:  make([]time.Duration, len(w.names)),
+		failedDials: make([]int, len(w.names)),
 	}
 	for _, rule := range w.doc.Rules {
 		s.rules[rule.Name] = &window{limit: rule.RequestsPerS, ramp: rule.Ramp.Std()}
@@ -122,11 +124,11 @@
 		}
 		stats := g.adm.Stats(s.w.time())
 		s.w.after(s.w.op.oneWayFar, func() {
-			g.published, g.heard = stats, s.w.now
-			s.trusted[place], s.dials[place] = s.w.now, 0
+			g.published, g.receivedAt = stats, s.w.now
+			s.lastReport[place], s.failedDials[place] = s.w.now, 0
 		})
 	})
-	g.published, g.heard = admission.Stats{}, s.w.now
+	g.published, g.receivedAt = admission.Stats{}, s.w.now
 }
 
 func (s *steered) announce(e *endpoint, a admission.Announcement) {
@@ -141,8 +143,9 @@
 	return total
 }
 
-// lost fails what waits in the place; the rest fails with its endpoints.
-func (s *steered) lost(place int) {
+// placeFailed fails the requests in the admission queues of a place; those on
+// endpoints fail when the endpoints crash.
+func (s *steered) placeFailed(place int) {
 	for service := range s.groups {
 		g := s.groups[service][place]
 		for _, id := range slices.Sorted(maps.Keys(g.pending)) {
@@ -153,13 +156,13 @@
 	}
 }
 
-func (s *steered) back(place int) {
+func (s *steered) placeRestored(place int) {
 	for service := range s.groups {
 		s.startGroup(service, place)
 	}
 }
 
-// view is what the entries of one place know.
+// view is the state of all groups as the entries of one place know it.
 type view struct {
 	s     *steered
 	place int
@@ -170,12 +173,12 @@
 	s := v.s
 	at := s.indexOf(place)
 	g := s.groups[s.serviceIndex(service)][at]
-	stats, age := g.published, s.w.now-g.heard
+	stats, age := g.published, s.w.now-g.receivedAt
 	if at == v.place && s.w.alive[at] {
 		stats, age = g.adm.Stats(s.w.time()), 0
 	}
 	return steering.GroupView{
-		Live:      age < deadAfter && s.dials[at] < suspectAfter,
+		Live:      age < deadAfter && s.failedDials[at] < suspectAfter,
 		Endpoints: stats.Endpoints,
 		Slots:     stats.Slots,
 		Busy:      stats.Busy,
@@ -207,11 +210,12 @@
 func (s *steered) handle(r *request) {
 	choices := s.table.Rank(s.w.op.services[r.service].name, s.w.names[r.origin], view{s, r.origin})
 	steering.Spread(choices, r.id)
-	s.proceed(&attempt{r: r, choices: choices})
+	s.sendToNext(&attempt{r: r, choices: choices})
 }
 
-// proceed sends the request to the next place that its budgets permit.
-func (s *steered) proceed(a *attempt) {
+// sendToNext sends the request to the next place of its ranking to which the
+// windows of rules and links permit it.
+func (s *steered) sendToNext(a *attempt) {
 	for a.next < len(a.choices) {
 		choice := a.choices[a.next]
 		a.next++
@@ -224,23 +228,24 @@
 	s.w.fail(a.r)
 }
 
-// take uses a token of every rule and link that the choice crosses, or none.
+// take takes the request from the windows of all rules and links that the choice
+// crosses, or from none of them if one has no room.
 func (s *steered) take(r *request, choice steering.Choice) bool {
 	now := s.w.now
 	bytes := s.w.op.services[r.service].answer
 	for _, name := range choice.Rules {
-		if !s.rules[name].room(now, 1) {
+		if !s.rules[name].fits(now, 1) {
 			return false
 		}
 	}
 	for _, id := range choice.Links {
-		if !s.links[id].room(now, bytes) {
+		if !s.links[id].fits(now, bytes) {
 			return false
 		}
 	}
 	for _, name := range choice.Rules {
 		s.rules[name].take(now, 1)
-		s.w.record.moved(r.service, r.origin, s.indexOf(choice.Place))
+		s.w.record.recordMove(r.service, r.origin, s.indexOf(choice.Place))
 	}
 	for _, id := range choice.Links {
 		s.links[id].take(now, bytes)
@@ -248,16 +253,17 @@
 	return true
 }
 
-// arrive offers the request to the owner of the group. A dial to a lost place
-// proves that the request was not run.
+// arrive offers the request to the owner of the group. If the place has failed,
+// the dial fails, which proves that the request was not run, and the next choice
+// is tried.
 func (s *steered) arrive(a *attempt, place int) {
 	if a.r.ended {
 		return
 	}
 	if !s.w.alive[place] {
 		s.w.after(dialTimeout, func() {
-			s.dials[place]++
-			s.again(a)
+			s.failedDials[place]++
+			s.tryNext(a)
 		})
 		return
 	}
@@ -278,14 +284,14 @@
 	case admission.Queued:
 		g.pending[a.ticket.ID] = a
 	case admission.Refused:
-		s.w.after(s.w.oneWay(a.r.origin, place), func() { s.again(a) })
+		s.w.after(s.w.oneWay(a.r.origin, place), func() { s.tryNext(a) })
 	}
 }
 
-// again goes on with the next choice.
-func (s *steered) again(a *attempt) {
+// tryNext tries the next choice unless the request has ended.
+func (s *steered) tryNext(a *attempt) {
 	if !a.r.ended {
-		s.proceed(a)
+		s.sendToNext(a)
 	}
 }
 
@@ -301,7 +307,7 @@
 	adm := g.adm
 	begun := s.w.now
 	s.byID[id].serve(&job{request: a.r, end: func(kind admission.ResultKind) {
-		s.settle(a, place, kind, id)
+		s.handleResult(a, place, kind, id)
 		grants := adm.Done(s.w.time(), a.ticket.ID, admission.Result{Kind: kind, Latency: s.w.now - begun})
 		if adm == g.adm {
 			s.grant(g, place, grants)
@@ -309,8 +315,9 @@
 	}})
 }
 
-// settle answers the caller, or tries another endpoint within the budget.
-func (s *steered) settle(a *attempt, place int, kind admission.ResultKind, id string) {
+// handleResult answers the caller, or retries at another endpoint if the retry
+// budget permits it.
+func (s *steered) handleResult(a *attempt, place int, kind admission.ResultKind, id string) {
 	budget := s.budgets[place]
 	if kind == admission.OK {
 		budget.Deposit()
@@ -324,7 +331,7 @@
 	a.ticket.Exclude = append(a.ticket.Exclude, id)
 	s.w.after(0, func() {
 		if !s.w.alive[place] {
-			s.again(a)
+			s.tryNext(a)
 			return
 		}
 		s.offer(s.groups[a.r.service][place], place, a)
--- a/internal/measure/window.go
+++ b/internal/measure/window.go
@@ -7,15 +7,16 @@
 	slot = 10 * time.Millisecond
 	// slotsPerSecond is the number of slots in a second.
 	slotsPerSecond = int(time.Second / slot)
-	// slotsPerWindow covers a second and the slot that it begins in.
+	// slotsPerWindow covers a second and the slot in which it begins.
 	slotsPerWindow = slotsPerSecond + 1
-	// idleShift is the time without use after which a shift ramps again.
+	// idleShift is the time without use after which a shift ramps up again.
 	idleShift = 10 * time.Second
-	// rampFloor is the part of a cap that a shift begins with.
+	// rampFloor is the fraction of a cap at which a ramp begins.
 	rampFloor = 0.1
 )
 
-// window bounds the units that are used in any second, counted at one point.
+// window is a sliding window that bounds the units used in any second, counted at
+// one point.
 type window struct {
 	limit   int
 	ramp    time.Duration
@@ -27,8 +28,9 @@
 	active  bool
 }
 
-// room says whether units fit now.
-func (w *window) room(now time.Duration, units int) bool {
+// fits reports whether units can be taken now. It begins a ramp at the first use
+// and after idleShift without use.
+func (w *window) fits(now time.Duration, units int) bool {
 	w.advance(now)
 	if !w.active || now-w.last > idleShift {
 		w.active, w.started = true, now
@@ -41,7 +43,7 @@
 	return w.sum+units <= limit
 }
 
-// take uses units.
+// take counts units as used now.
 func (w *window) take(now time.Duration, units int) {
 	w.advance(now)
 	w.used[w.at%int64(slotsPerWindow)] += units
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -15,19 +15,21 @@
 const (
 	// reportPeriod is the time between an endpoint's announcements.
 	reportPeriod = time.Second
-	// reportDelay is the time until an announcement is taken in.
+	// reportDelay is the time until a policy receives an announcement.
 	reportDelay = 50 * time.Millisecond
-	// workSpread is the standard deviation of the logarithm of a request's work.
+	// workSpread is the standard deviation of the logarithm of the work of a
+	// request.
 	workSpread = 0.6
-	// loadFactor is the demand as a part of the capacity.
+	// loadFactor is the usual demand as a fraction of the capacity.
 	loadFactor = 0.7
-	// resendPause is the time after which an impatient caller sends again.
-	resendPause = 50 * time.Millisecond
-	// maxResends bounds what an impatient caller sends.
-	maxResends = 3
+	// retryDelay is the time between a failure and the caller's retry.
+	retryDelay = 50 * time.Millisecond
+	// maxRetries bounds the retries of one request.
+	maxRetries = 3
 )
 
-// request is one try of a caller.
+// request is one attempt of a caller; a retry is a new request. Times are since
+// the start of the simulation.
 type request struct {
 	id       uint64
 	service  int
@@ -36,42 +38,43 @@
 	sent     time.Duration
 	deadline time.Duration
 	work     float64 // multiple of the service's mean
-	resends  int
+	retries  int
 	ended    bool
 }
 
 // policy decides where requests go.
 type policy interface {
-	// handle takes in a request at its place of origin.
+	// handle receives a request at its place of origin.
 	handle(r *request)
-	// announce takes in an endpoint's report, late.
+	// announce receives an endpoint's report, which may be delayed.
 	announce(e *endpoint, a admission.Announcement)
-	// queued counts the requests that wait in front of a place's endpoints.
+	// queued returns the number of requests in a place's admission queues.
 	queued(place int) int
-	// lost and back tell that the entries of a place ended or started.
-	lost(place int)
-	back(place int)
-	// reconfigure puts a changed document in force.
+	// placeFailed and back report that the entries of a place failed
+	// or restarted.
+	placeFailed(place int)
+	placeRestored(place int)
+	// reconfigure puts a changed document into force.
 	reconfigure(doc *document.Document)
 }
 
 // world is one simulation.
 type world struct {
 	schedule
-	op        Operation
-	doc       *document.Document
-	names     []string
-	region    []int // per place
-	alive     []bool
-	endpoints []*endpoint
-	byPlace   [][][]*endpoint // service, place
-	policy    policy
-	arrivals  *rand.Rand
-	choices   *rand.Rand // for policies
-	demand    func(now time.Duration) float64
-	impatient bool
-	nextID    uint64
-	record    *record
+	op           Operation
+	doc          *document.Document
+	names        []string
+	region       []int // per place
+	alive        []bool
+	endpoints    []*endpoint
+	byPlace      [][][]*endpoint // service, place
+	policy       policy
+	arrivals     *rand.Rand
+	choices      *rand.Rand // for policies
+	demand       func(now time.Duration) float64
+	callersRetry bool
+	nextID       uint64
+	record       *record
 }
 
 func newWorld(op Operation, seed uint64, makePolicy func(*world) policy) *world {
@@ -110,7 +113,7 @@
 			for i := range w.op.workersIn(service, p) {
 				e := &endpoint{
 					w: w, id: fmt.Sprintf("%s/%s/%d", service.name, w.names[p], i),
-					service: s, place: p, slots: service.slots, slow: 1,
+					service: s, place: p, slots: service.slots, slowdown: 1,
 					alive: true, incarnation: 1,
 					running: map[*job]struct{}{}, served: make([]float64, len(w.names)),
 				}
@@ -134,7 +137,8 @@
 	})
 }
 
-// startCallers lets requests of one service come to one place at random.
+// startCallers schedules the arrivals of requests for one service in one place,
+// as a Poisson process.
 func (w *world) startCallers(service, place int) {
 	capacity := w.op.capacity(w.op.services[service], place)
 	var next func()
@@ -155,11 +159,11 @@
 		first:   w.now,
 		work:    math.Exp(workSpread*w.arrivals.NormFloat64() - workSpread*workSpread/2),
 	}
-	w.record.offered(r)
+	w.record.recordOffer(r)
 	w.send(r)
 }
 
-// send starts a try; its caller gives up at the deadline.
+// send starts an attempt, which fails at its deadline.
 func (w *world) send(r *request) {
 	r.sent = w.now
 	r.deadline = w.now + w.op.services[r.service].deadline
@@ -167,30 +171,32 @@
 	w.policy.handle(r)
 }
 
-// answer ends a request; network is the time for which its bytes travel.
+// answer completes a request after network, the time until the answer arrives at
+// the caller.
 func (w *world) answer(r *request, network time.Duration) {
 	w.after(network, func() {
 		if r.ended {
 			return
 		}
 		r.ended = true
-		w.record.answered(r)
+		w.record.recordAnswer(r)
 	})
 }
 
-// fail ends a try without an answer. An impatient caller sends again.
+// fail ends an attempt without an answer. If callers retry, it schedules the
+// next attempt.
 func (w *world) fail(r *request) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	if !w.impatient || r.resends >= maxResends {
+	if !w.callersRetry || r.retries >= maxRetries {
 		return
 	}
 	again := *r
 	again.ended = false
-	again.resends++
-	w.after(resendPause, func() {
+	again.retries++
+	w.after(retryDelay, func() {
 		w.nextID++
 		again.id = w.nextID
 		w.send(&again)
@@ -209,25 +215,25 @@
 	}
 }
 
-// userTrip is the round trip between a caller and its place, with the time to
-// connect.
+// userTrip is the round trip between a caller and its place plus the time to
+// open a connection.
 func (w *world) userTrip() time.Duration { return 2*w.op.oneWayUser + connectTime }
 
-// lose ends everything in a place.
-func (w *world) lose(place int) {
+// failPlace fails the entries and endpoints of a place.
+func (w *world) failPlace(place int) {
 	w.alive[place] = false
-	w.policy.lost(place)
+	w.policy.placeFailed(place)
 	for _, e := range w.endpoints {
 		if e.place == place {
-			e.die()
+			e.crash()
 		}
 	}
 }
 
-// restore starts everything in a place, cold.
-func (w *world) restore(place int) {
+// restorePlace restarts the entries and endpoints of a place, with cold caches.
+func (w *world) restorePlace(place int) {
 	w.alive[place] = true
-	w.policy.back(place)
+	w.policy.placeRestored(place)
 	for _, e := range w.endpoints {
 		if e.place == place {
 			e.restart()
@@ -236,8 +242,8 @@
 	}
 }
 
-// drain takes a place out of use in the document.
-func (w *world) drain(place int) {
+// drainPlace adds a drain of a place to the document.
+func (w *world) drainPlace(place int) {
 	doc := *w.doc
 	doc.Drains = append(slices.Clone(doc.Drains), document.Drain{Place: w.names[place], Reason: "repair"})
 	w.doc = &doc
