--- a/internal/measure/baseline.go
+++ b/internal/measure/baseline.go
@@ -23,7 +23,7 @@
 type baseline struct {
 	w         *world
 	leastLoad bool
-	reports   map[*endpoint]report
+	latest    map[*endpoint]report
 }
 
 // report is the last report that a baseline received from an endpoint.
@@ -33,15 +33,15 @@
 }
 
 func newRandomBaseline(w *world) policy {
-	return &baseline{w: w, reports: map[*endpoint]report{}}
+	return &baseline{w: w, latest: map[*endpoint]report{}}
 }
 
 func newLeastLoadBaseline(w *world) policy {
-	return &baseline{w: w, leastLoad: true, reports: map[*endpoint]report{}}
+	return &baseline{w: w, leastLoad: true, latest: map[*endpoint]report{}}
 }
 
 func (b *baseline) announce(e *endpoint, a admission.Announcement) {
-	b.reports[e] = report{b.w.now, a.Load}
+	b.latest[e] = report{b.w.now, a.Load}
 }
 
 func (b *baseline) queued(int) int                 { return 0 }
@@ -105,8 +105,8 @@
 }
 
 func (b *baseline) known(e *endpoint) bool {
-	last, ok := b.reports[e]
-	return ok && b.w.now-last.at <= reportTimeout && !b.w.drained(e.place)
+	latest, ok := b.latest[e]
+	return ok && b.w.now-latest.at <= reportTimeout && !b.w.drained(e.place)
 }
 
 func (b *baseline) distance(from, to int) int {
@@ -125,7 +125,7 @@
 	lowest := 2.0
 	var least []*endpoint
 	for _, e := range endpoints {
-		load := b.reports[e].load
+		load := b.latest[e].load
 		if load < lowest {
 			lowest = load
 			least = nil
--- a/internal/measure/controlcost/fetch.go
+++ b/internal/measure/controlcost/fetch.go
@@ -188,7 +188,7 @@
 	text := bytes.Repeat([]byte("x"), documentBytes)
 	out, err := node.Submit(ctx, port.Change{ID: "first", Operator: "measure", Document: text})
 	if err == nil && out.State != port.ChangeAccepted {
-		err = fmt.Errorf("the first document is %s", out.State)
+		err = fmt.Errorf("the first document was not accepted: its state is %s", out.State)
 	}
 	return err
 }
--- a/internal/measure/controlcost/system.go
+++ b/internal/measure/controlcost/system.go
@@ -93,7 +93,7 @@
 // ownerKnown compares the owners that every daemon's table names for the groups
 // of the places on its list with the daemons that act as owners.
 func (sys *system) ownerKnown(s size, o options) float64 {
-	asked, right := 0, 0
+	total, correct := 0, 0
 	for i, name := range sys.names {
 		table := sys.tables[name]
 		followed := interestOf(s, o, i/s.perPlace)
@@ -102,15 +102,15 @@
 		}
 		for _, place := range followed {
 			for _, row := range sys.groups[place] {
-				asked++
+				total++
 				owner, ok := table.Owner(sys.now, row.Service, place)
 				if ok && sys.tables[owner.Name].OwnsSelf(sys.now, row.Service, place) {
-					right++
+					correct++
 				}
 			}
 		}
 	}
-	return 100 * float64(right) / float64(max(1, asked))
+	return 100 * float64(correct) / float64(max(1, total))
 }
 
 // spread sets a new version at one daemon and runs until all daemons have
--- a/internal/measure/endpoint.go
+++ b/internal/measure/endpoint.go
@@ -34,7 +34,7 @@
 	place       int
 	slots       int
 	slowdown    float64 // factor on the work of requests
-	mode        reportMode
+	reportMode  reportMode
 	alive       bool
 	incarnation uint64
 	sequence    uint64
@@ -54,7 +54,7 @@
 
 // load returns the load that the endpoint reports, from 0 to 1.
 func (e *endpoint) load() float64 {
-	switch e.mode {
+	switch e.reportMode {
 	case reportsIdle:
 		return 0
 	case reportsFull:
--- a/internal/measure/scenario.go
+++ b/internal/measure/scenario.go
@@ -37,8 +37,8 @@
 func scenarios() []scenario {
 	return []scenario{
 		{name: "steady 70%", until: 40 * time.Second, setUp: func(*world) {}, drain: -1},
-		{name: "one place lost", until: 40 * time.Second, setUp: losePlaces(0), affected: []int{0}, drain: -1},
-		{name: "one region lost", until: endAt, setUp: loseRegion, affected: []int{0, 1}, drain: -1, recoversAt: restoreAt},
+		{name: "one place lost", until: 40 * time.Second, setUp: failPlaces(0), affected: []int{0}, drain: -1},
+		{name: "one region lost", until: endAt, setUp: failRegion, affected: []int{0, 1}, drain: -1, recoversAt: restoreAt},
 		{name: "drain of a place", until: 40 * time.Second, setUp: drainPlace, affected: []int{0}, drain: 0},
 		{name: "drain at 50%", until: 40 * time.Second, setUp: drainAtHalf, affected: []int{0}, drain: 0},
 		{name: "restart with cold caches", until: endAt, setUp: coldRestart, affected: []int{0}, drain: -1, recoversAt: restoreAt},
@@ -47,7 +47,7 @@
 	}
 }
 
-func losePlaces(places ...int) func(w *world) {
+func failPlaces(places ...int) func(w *world) {
 	return func(w *world) {
 		for _, p := range places {
 			w.after(faultAt, func() { w.failPlace(p) })
@@ -61,18 +61,18 @@
 	}
 }
 
-func loseRegion(w *world) {
-	losePlaces(0, 1)(w)
+func failRegion(w *world) {
+	failPlaces(0, 1)(w)
 	restorePlaces(w, 0, 1)
 }
 
 func coldRestart(w *world) {
-	losePlaces(0)(w)
+	failPlaces(0)(w)
 	restorePlaces(w, 0)
 }
 
 func drainPlace(w *world) {
-	w.after(faultAt, func() { w.drainPlace(0) })
+	w.after(faultAt, func() { w.addDrain(0) })
 }
 
 // drainAtHalf drains a place while the others have free capacity for its work.
@@ -102,8 +102,8 @@
 			if place > 0 && w.region[place] == w.region[place-1] {
 				continue
 			}
-			group[0].mode, group[0].slowdown = reportsIdle, misreportSlowdown
-			group[1].mode = reportsFull
+			group[0].reportMode, group[0].slowdown = reportsIdle, misreportSlowdown
+			group[1].reportMode = reportsFull
 		}
 	}
 }
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -242,8 +242,8 @@
 	}
 }
 
-// drainPlace adds a drain of a place to the document.
-func (w *world) drainPlace(place int) {
+// addDrain adds a drain of a place to the document.
+func (w *world) addDrain(place int) {
 	doc := *w.doc
 	doc.Drains = append(slices.Clone(doc.Drains), document.Drain{Place: w.names[place], Reason: "repair"})
 	w.doc = &doc
--- a/internal/systemtest/endpoint_test.go
+++ b/internal/systemtest/endpoint_test.go
@@ -68,7 +68,7 @@
 	r.counts[body]++
 }
 
-func (r *runs) count(body string) int {
+func (r *runs) executions(body string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[body]
@@ -88,16 +88,16 @@
 	slots   int
 	work    time.Duration
 
-	mu                  sync.Mutex
-	incarnation         uint64
-	sequence            uint64
-	state               port.EndpointState
-	served              int
-	announcementsPaused bool
-	learnedEntries      []string // entries named in the last answer to an announcement
-	server              *http.Server
-	cancel              context.CancelFunc
-	slot                chan struct{}
+	mu             sync.Mutex
+	incarnation    uint64
+	sequence       uint64
+	state          port.EndpointState
+	served         int
+	paused         bool
+	learnedEntries []string // entries named in the last answer to an announcement
+	server         *http.Server
+	cancel         context.CancelFunc
+	slot           chan struct{}
 }
 
 // announcePeriod is shorter than that of real endpoints to keep tests short.
@@ -172,16 +172,16 @@
 }
 
 // pauseAnnouncements stops or resumes the periodic announcements.
-func (e *endpoint) pauseAnnouncements(muted bool) {
+func (e *endpoint) pauseAnnouncements(paused bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.announcementsPaused = muted
+	e.paused = paused
 }
 
 // announce sends an announcement to its entries in turn until one accepts it.
 func (e *endpoint) announce() {
 	e.mu.Lock()
-	if e.announcementsPaused && e.state != port.EndpointLeaving {
+	if e.paused && e.state != port.EndpointLeaving {
 		e.mu.Unlock()
 		return
 	}
@@ -242,7 +242,7 @@
 		e.crash()
 		return
 	}
-	if strings.HasPrefix(string(body), "drop") && e.runs.count(text) == 1 {
+	if strings.HasPrefix(string(body), "drop") && e.runs.executions(text) == 1 {
 		panic(http.ErrAbortHandler) // it has run, and its answer is lost
 	}
 	time.Sleep(work)
--- a/internal/systemtest/fault_test.go
+++ b/internal/systemtest/fault_test.go
@@ -229,10 +229,10 @@
 			}
 		}
 		if round == 0 {
-			is.True(s.runs.count("crash/x") <= 2)
+			is.True(s.runs.executions("crash/x") <= 2)
 		}
 	}
-	is.True(s.runs.count("crash/x") <= 2) // at most two endpoint incarnations crashed
+	is.True(s.runs.executions("crash/x") <= 2) // at most two endpoint incarnations crashed
 	is.True(refused > 0)
 	var listed []string
 	s.eventually("the quarantine in the operators' status", func() bool {
@@ -274,7 +274,7 @@
 				t.Errorf("once-only request got verdict %q, reason %q", r.verdict, r.reason)
 			}
 		}
-		if runs := s.runs.count(body + "/x"); runs != 1 {
+		if runs := s.runs.executions(body + "/x"); runs != 1 {
 			t.Errorf("once-only request ran %d times", runs)
 		}
 	}
@@ -300,7 +300,7 @@
 	go func() {
 		results <- s.sendWithin(def.Caller, "south-a", "POST", s.keyAt("south-a"), "slow", 5*time.Second)
 	}()
-	s.eventually("the slow request runs", func() bool { return s.runs.count("slow/x") == 1 })
+	s.eventually("the slow request runs", func() bool { return s.runs.executions("slow/x") == 1 })
 	p := s.entries[name]
 	p.stop()
 	time.Sleep(200 * time.Millisecond)
--- a/internal/systemtest/flow_test.go
+++ b/internal/systemtest/flow_test.go
@@ -61,7 +61,7 @@
 			served++
 		}
 		again := s.send(s.entriesOf(place)[1], place, "POST", key, body)
-		count := s.runs.count(body + "/x")
+		count := s.runs.executions(body + "/x")
 		results := []result{first, again}
 		for _, r := range results {
 			if r.verdict == "not-run" && count > 0 || r.verdict == "ran" && count != 1 || count > 1 {
--- a/internal/systemtest/load_test.go
+++ b/internal/systemtest/load_test.go
@@ -101,7 +101,7 @@
 		if !r.complete(r.body) {
 			sum.unserved++
 		}
-		count := s.runs.count(r.body + "/x")
+		count := s.runs.executions(r.body + "/x")
 		if r.err == nil && r.status == 200 && !r.complete(r.body) {
 			sum.wrongAnswer++
 		}
--- a/internal/systemtest/measure_test.go
+++ b/internal/systemtest/measure_test.go
@@ -220,9 +220,9 @@
 // returns the sum of their processor time per second.
 func (s *system) idleCost(when string) float64 {
 	const span = 10 * time.Second
-	before := s.entryUsage()
+	before := s.usages()
 	time.Sleep(span)
-	after := s.entryUsage()
+	after := s.usages()
 	var cpu, rss []float64
 	sum := 0.0
 	for name := range before {
@@ -245,13 +245,13 @@
 	rss float64 // megabytes
 }
 
-func (s *system) entryUsage() map[string]usage {
-	costs := make(map[string]usage)
+func (s *system) usages() map[string]usage {
+	usages := make(map[string]usage)
 	for name, p := range s.entries {
 		pid := strconv.Itoa(p.cmd.Process.Pid)
-		costs[name] = usage{cpu: cpuSeconds(pid), rss: residentMB(pid)}
+		usages[name] = usage{cpu: cpuSeconds(pid), rss: residentMB(pid)}
 	}
-	return costs
+	return usages
 }
 
 // cpuSeconds returns the user and system time of a process from /proc/pid/stat
@@ -322,7 +322,7 @@
 	var mu sync.Mutex
 	var took []time.Duration
 	failed := 0
-	before := s.entryUsage()[entry].cpu
+	before := s.usages()[entry].cpu
 	begun := time.Now()
 	var wg sync.WaitGroup
 	for range callers {
@@ -340,7 +340,7 @@
 		})
 	}
 	wg.Wait()
-	cpu := s.entryUsage()[entry].cpu - before
+	cpu := s.usages()[entry].cpu - before
 	slices.Sort(took)
 	n := len(took)
 	return loopResult{
--- a/internal/systemtest/mesh_test.go
+++ b/internal/systemtest/mesh_test.go
@@ -89,7 +89,7 @@
 func (m *mesh) drops(r *relay, src, dst string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, silent := m.silenced[r]; silent {
+	if _, silenced := m.silenced[r]; silenced {
 		return true
 	}
 	if !m.rule(src, dst) {
--- a/internal/systemtest/path_test.go
+++ b/internal/systemtest/path_test.go
@@ -35,7 +35,7 @@
 			is.Equal(r.verdict, "ran")
 		}
 	}
-	is.Equal(s.runs.count(body+"/x"), 1)
+	is.Equal(s.runs.executions(body+"/x"), 1)
 }
 
 // TestResendPastDeadline guards against a wrong verdict, or a second execution,
@@ -60,7 +60,7 @@
 			is.Equal(r.verdict, "may-have-run")
 		}
 	}
-	is.Equal(s.runs.count(body+"/x"), 1)
+	is.Equal(s.runs.executions(body+"/x"), 1)
 }
 
 // TestUnknownPlace starts an entry whose settings name a place that the document
--- a/internal/systemtest/soak_test.go
+++ b/internal/systemtest/soak_test.go
@@ -215,7 +215,7 @@
 	t.Log(s.moveSummary())
 }
 
-// within reports whether a place is the place, or lies in the region, that a
+// within reports whether a place is the place, or is in the region, that a
 // rule names.
 func (s *system) within(place, name string) bool {
 	def := s.doc.PlaceByName(place)
