--- a/internal/adapter/disk/doc.go
+++ b/internal/adapter/disk/doc.go
@@ -10,6 +10,6 @@
 // the newer one.
 //
 // A Folder whose operation failed rejects all further calls, because the content
-// of the disk is then unknown. A VoterStore opens its folder again before its next
+// of the disk is then unknown until it is read again. A VoterStore opens its folder again before its next
 // write; a control VM reads its records again only when its process restarts.
 package disk
--- a/internal/adapter/disk/folder_test.go
+++ b/internal/adapter/disk/folder_test.go
@@ -101,7 +101,7 @@
 func (f *fakeFile) Close() error { return f.fs.op() }
 
 // crash returns the file system as a process finds it after a power failure. Names
-// and content that weren't synced are keepUnsynced or lost, depending on keepUnsynced.
+// and content that weren't synced are kept if keepUnsynced is set, and lost otherwise.
 func (f *fakeFS) crash(keepUnsynced bool) *fakeFS {
 	after := newFakeFS()
 	names := f.durable
--- a/internal/adapter/fleetgrpc/client.go
+++ b/internal/adapter/fleetgrpc/client.go
@@ -122,7 +122,7 @@
 	}
 	fresh, err := c.dial()
 	if err != nil {
-		return // unlikely, as the address worked before; the next call that times out tries again
+		return // unlikely, as the address worked before; the stale connection stays until the next call that times out
 	}
 	c.conn = fresh
 	_ = stale.Close()
--- a/internal/adapter/fleetgrpc/convert.go
+++ b/internal/adapter/fleetgrpc/convert.go
@@ -10,7 +10,7 @@
 	"sassafrasreach/internal/port"
 )
 
-// convertAll converts convertAll element. It returns nil for an empty slice.
+// convertAll converts each element. It returns nil for an empty slice.
 func convertAll[A, B any](in []A, convert func(A) B) []B {
 	if len(in) == 0 {
 		return nil
--- a/internal/adapter/fleetgrpc/doc.go
+++ b/internal/adapter/fleetgrpc/doc.go
@@ -3,5 +3,5 @@
 //
 // A point in time is sent as its age in milliseconds, or as the time that is left
 // until it, since the clocks of VMs differ. The receiver converts it to its own
-// clock; the time that the message was on its way is not taken into account.
+// clock; it doesn't correct for the transit time of the message.
 package fleetgrpc
--- a/internal/adapter/peergrpc/conn.go
+++ b/internal/adapter/peergrpc/conn.go
@@ -32,8 +32,8 @@
 	dialTimeout = 500 * time.Millisecond
 )
 
-// errNotReady means that the connection wasn't ready within dialTimeout, or that
-// dialing failed.
+// errNotReady means that dialing failed, or that the connection wasn't ready
+// within dialTimeout or before the caller's context ended.
 var errNotReady = errors.New("connection not ready")
 
 // conn is one connection to a peer.
--- a/internal/adapter/peergrpc/peer_test.go
+++ b/internal/adapter/peergrpc/peer_test.go
@@ -26,18 +26,18 @@
 // fakePeer is a port.PeerHandler that records what it receives. It answers
 // Forward with its function, and other calls with fixed values or an echo.
 type fakePeer struct {
-	forward  func(ctx context.Context, f port.Forward) (*port.Response, error)
-	handed   claims.HandOver
-	rows     []port.QuarantineRow
-	announed []port.Announcement
-	loan     port.LoanRequest
+	forward   func(ctx context.Context, f port.Forward) (*port.Response, error)
+	handed    claims.HandOver
+	rows      []port.QuarantineRow
+	announced []port.Announcement
+	loan      port.LoanRequest
 }
 
 func (p *fakePeer) HandleHeartbeat(hb membership.Heartbeat) membership.Heartbeat { return hb }
 func (p *fakePeer) HandleForward(ctx context.Context, f port.Forward) (*port.Response, error) {
 	return p.forward(ctx, f)
 }
-func (p *fakePeer) HandleAnnounce(batch []port.Announcement) { p.announed = batch }
+func (p *fakePeer) HandleAnnounce(batch []port.Announcement) { p.announced = batch }
 func (p *fakePeer) HandleFetchDocument(have uint64) port.Config {
 	return port.Config{Version: have + 1, Digest: "d", Document: []byte("text")}
 }
@@ -110,7 +110,7 @@
 		Slots: 3, Connections: 4, State: port.EndpointReady, Load: 0.5,
 	}}
 	is.NoErr(client.Announce(ctx, link.Addr(), batch))
-	is.Equal(p.announed, batch)
+	is.Equal(p.announced, batch)
 
 	home := claims.Home{Entry: "a", Incarnation: 7}
 	key := claims.Key{Home: home, Minted: time.Unix(1000, 0).UTC(), Unique: "u"}
--- a/internal/adapter/registergrpc/message.go
+++ b/internal/adapter/registergrpc/message.go
@@ -11,7 +11,7 @@
 // EntryReport is the status that an entry VM last reported of itself.
 type EntryReport struct {
 	port.EntryStatus
-	// Incarnation changes at each start of the entry.
+	// Incarnation changes at each start of the entry VM.
 	Incarnation uint64
 }
 
--- a/internal/adapter/settings/load.go
+++ b/internal/adapter/settings/load.go
@@ -55,7 +55,8 @@
 }
 
 // UnknownPlace returns the error for an entry VM's settings whose place isn't in
-// the document. Only the first document that the entry VM receives shows this.
+// the document. This can be checked only once the entry VM has received its first
+// document.
 func UnknownPlace(path, place string) *Error {
 	e := &Error{File: path, Field: "place", Message: fmt.Sprintf("unknown place %q; it must be one of the places in the document", place)}
 	if text, err := read(path); err == nil {
--- a/internal/adapter/settings/reference_test.go
+++ b/internal/adapter/settings/reference_test.go
@@ -62,8 +62,8 @@
 	return out
 }
 
-// compare checks the rows of one table of the page against the fields. It leaves
-// out the default where the page says that the field is needed or empty.
+// compare checks the rows of one table of the page against the fields. It doesn't
+// compare the default where the page says that the field is needed or empty.
 func compare(t *testing.T, rows string, want []field) {
 	t.Helper()
 	is := is.New(t)
