--- a/internal/adapter/callerhttp/problem.go
+++ b/internal/adapter/callerhttp/problem.go
@@ -33,7 +33,7 @@
 		return http.StatusGatewayTimeout
 	case verdict.ReasonNoKey:
 		return http.StatusPreconditionRequired
-	case verdict.ReasonKeyReused, verdict.ReasonKeyExpired, verdict.ReasonHomeLost:
+	case verdict.ReasonKeyReused, verdict.ReasonKeyExpired, verdict.ReasonCoordinatorLost:
 		return http.StatusConflict
 	case verdict.ReasonTooLarge:
 		return http.StatusRequestEntityTooLarge
--- a/internal/adapter/fleetgrpc/convert.go
+++ b/internal/adapter/fleetgrpc/convert.go
@@ -80,7 +80,7 @@
 	if r == nil {
 		return nil
 	}
-	return &fleetv1.Refusal{Promised: ballotToProto(r.Promised), Newer: epochToProto(r.Newer), Stranger: r.Stranger}
+	return &fleetv1.Refusal{Promised: ballotToProto(r.Promised), Newer: epochToProto(r.Newer), Stranger: r.CannotVote}
 }
 
 func refusalFromProto(m *fleetv1.Refusal) *quorum.Refusal {
@@ -88,7 +88,7 @@
 		return nil
 	}
 	return &quorum.Refusal{
-		Promised: ballotFromProto(m.GetPromised()), Newer: epochFromProto(m.GetNewer()), Stranger: m.GetStranger(),
+		Promised: ballotFromProto(m.GetPromised()), Newer: epochFromProto(m.GetNewer()), CannotVote: m.GetStranger(),
 	}
 }
 
@@ -122,17 +122,17 @@
 
 func (c codec) endpointToProto(e registry.Endpoint) *fleetv1.Endpoint {
 	return &fleetv1.Endpoint{
-		Id: e.ID, BornMs: e.Born, Sequence: e.Sequence, Address: e.Address, Service: e.Service, Zone: e.Zone,
+		Id: e.ID, BornMs: e.StartedMillis, Sequence: e.Sequence, Address: e.Address, Service: e.Service, Zone: e.Zone,
 		Slots: int32(e.Slots), Leaving: e.Leaving, Gone: e.Gone,
-		AgeMs: c.age(e.Heard), ColdLeftMs: max(0, -c.age(e.ColdUntil)),
+		AgeMs: c.age(e.LastSeen), ColdLeftMs: max(0, -c.age(e.ColdUntil)),
 	}
 }
 
 func (c codec) endpointFromProto(m *fleetv1.Endpoint) registry.Endpoint {
 	e := registry.Endpoint{
-		ID: m.GetId(), Born: m.GetBornMs(), Sequence: m.GetSequence(), Address: m.GetAddress(),
+		ID: m.GetId(), StartedMillis: m.GetBornMs(), Sequence: m.GetSequence(), Address: m.GetAddress(),
 		Service: m.GetService(), Zone: m.GetZone(), Slots: int(m.GetSlots()),
-		Leaving: m.GetLeaving(), Gone: m.GetGone(), Heard: c.timeAt(m.GetAgeMs()),
+		Leaving: m.GetLeaving(), Gone: m.GetGone(), LastSeen: c.timeAt(m.GetAgeMs()),
 	}
 	if m.GetColdLeftMs() > 0 {
 		e.ColdUntil = c.timeAt(-m.GetColdLeftMs())
@@ -221,18 +221,18 @@
 	return &fleetv1.AcquireRequest{
 		Id: a.ID, Gateway: a.Gateway, Region: a.Region, Service: a.Service, Priority: int32(a.Priority),
 		Affinity: a.Affinity, Zone: a.Zone, TargetMs: a.Target.Milliseconds(), DeadlineMs: -c.age(a.Deadline),
-		Homes: a.Homes, Exclude: a.Exclude, Kind: a.Kind, Hint: a.Hint, Again: a.Again,
+		Homes: a.Regions, Exclude: a.Exclude, Kind: a.Kind, Hint: a.Hint, Again: a.Retry,
 	}
 }
 
 func (c codec) slotRequestFromProto(m *fleetv1.AcquireRequest) port.AskSlot {
 	return port.AskSlot{
 		Region: m.GetRegion(),
-		Ask: dispatch.Ask{
+		SlotRequest: dispatch.SlotRequest{
 			ID: m.GetId(), Gateway: m.GetGateway(), Service: m.GetService(), Priority: int(m.GetPriority()),
 			Affinity: m.GetAffinity(), Zone: m.GetZone(), Target: millis(m.GetTargetMs()),
-			Deadline: c.timeAt(-m.GetDeadlineMs()), Exclude: m.GetExclude(), Homes: m.GetHomes(),
-			Kind: m.GetKind(), Hint: m.GetHint(), Again: m.GetAgain(),
+			Deadline: c.timeAt(-m.GetDeadlineMs()), Exclude: m.GetExclude(), Regions: m.GetHomes(),
+			Kind: m.GetKind(), Hint: m.GetHint(), Retry: m.GetAgain(),
 		},
 	}
 }
--- a/internal/adapter/fleetgrpc/message_test.go
+++ b/internal/adapter/fleetgrpc/message_test.go
@@ -20,8 +20,8 @@
 		Routes: []fleet.Route{{
 			Name: "belts", Host: "belts.example", Prefix: "/v1/", Idempotent: true, Priority: 2,
 			Target: 300 * time.Millisecond, Timeout: 2 * time.Second, Attempts: 3, Sticky: true,
-			Parts: []fleet.Part{{Service: "belt-control", Weight: 0.75}, {Service: "belt-next", Weight: 0.25}},
-			Homes: []string{"north", "south"},
+			Parts:   []fleet.Part{{Service: "belt-control", Weight: 0.75}, {Service: "belt-next", Weight: 0.25}},
+			Regions: []string{"north", "south"},
 		}},
 		Services: []fleet.Service{{
 			Name: "belt-control", HealthPath: "/health", Connections: 64, ColdPerSecond: 1.5, ColdTime: 90 * time.Second,
--- a/internal/adapter/peergrpc/convert_claims.go
+++ b/internal/adapter/peergrpc/convert_claims.go
@@ -24,7 +24,7 @@
 // out, and the hand-over is then marked as incomplete.
 func handOverFromProto(r *peerv1.HandOverRequest) claims.HandOver {
 	h := claims.HandOver{
-		From:     claims.Home{Entry: r.GetFrom(), Incarnation: r.GetIncarnation()},
+		From:     claims.Coordinator{Entry: r.GetFrom(), Incarnation: r.GetIncarnation()},
 		Complete: r.GetComplete(),
 	}
 	for _, claim := range r.GetClaims() {
--- a/internal/adapter/peergrpc/peer_test.go
+++ b/internal/adapter/peergrpc/peer_test.go
@@ -112,9 +112,9 @@
 	is.NoErr(client.Announce(ctx, link.Addr(), batch))
 	is.Equal(p.announced, batch)
 
-	home := claims.Home{Entry: "a", Incarnation: 7}
-	key := claims.Key{Home: home, Minted: time.Unix(1000, 0).UTC(), Unique: "u"}
-	handed := claims.HandOver{From: home, Complete: true, Rows: []claims.Row{{
+	coordinator := claims.Coordinator{Entry: "a", Incarnation: 7}
+	key := claims.Key{Coordinator: coordinator, Minted: time.Unix(1000, 0).UTC(), Unique: "u"}
+	handed := claims.HandOver{From: coordinator, Complete: true, Rows: []claims.Row{{
 		Key: key, Fingerprint: fingerprint.Of("s", "POST", "/", nil), Finished: true,
 		Outcome: claims.Outcome{Verdict: verdict.Ran, Status: 200, Header: http.Header{"X": {"y"}}, Body: []byte("b")},
 	}}}
--- a/internal/adapter/registergrpc/client_test.go
+++ b/internal/adapter/registergrpc/client_test.go
@@ -22,7 +22,7 @@
 }
 
 func (m fakeMember) Query(q register.Query) (register.Report, error) {
-	return register.Report{Round: q.Round, Standing: register.Standing{Member: 1}}, m.err
+	return register.Report{Round: q.Round, MemberState: register.MemberState{Member: 1}}, m.err
 }
 
 // blackholeProxy forwards connections to a target. After drop, it discards the
--- a/internal/adapter/registergrpc/codec.go
+++ b/internal/adapter/registergrpc/codec.go
@@ -42,29 +42,29 @@
 	return out
 }
 
-func standingToProto(s register.Standing) *registerv1.Standing {
+func memberStateToProto(s register.MemberState) *registerv1.Standing {
 	return &registerv1.Standing{
 		Member: uint32(s.Member), Voting: s.Voting, Generation: ballotToProto(s.Generation),
 		Fences: ballotsToProto(s.Fences), Promised: ballotToProto(s.Promised),
 	}
 }
 
-func standingFromProto(m *registerv1.Standing) register.Standing {
-	return register.Standing{
+func memberStateFromProto(m *registerv1.Standing) register.MemberState {
+	return register.MemberState{
 		Member: register.MemberID(m.GetMember()), Voting: m.GetVoting(),
 		Generation: ballotFromProto(m.GetGeneration()), Fences: ballotsFromProto(m.GetFences()),
 		Promised: ballotFromProto(m.GetPromised()),
 	}
 }
 
-func holdingToProto(h register.Holding) *registerv1.Holding {
+func acceptedValueToProto(h register.AcceptedValue) *registerv1.Holding {
 	return &registerv1.Holding{
 		Accepted: ballotToProto(h.Accepted), Value: valueToProto(h.Value), Committed: h.Committed,
 	}
 }
 
-func holdingFromProto(m *registerv1.Holding) register.Holding {
-	return register.Holding{
+func acceptedValueFromProto(m *registerv1.Holding) register.AcceptedValue {
+	return register.AcceptedValue{
 		Accepted: ballotFromProto(m.GetAccepted()), Value: valueFromProto(m.GetValue()),
 		Committed: m.GetCommitted(),
 	}
--- a/internal/adapter/registergrpc/codec_test.go
+++ b/internal/adapter/registergrpc/codec_test.go
@@ -41,8 +41,8 @@
 	return register.Ballot{Round: n, Member: register.MemberID(n % 5), Incarnation: n * 3}
 }
 
-func standing() register.Standing {
-	return register.Standing{
+func memberState() register.MemberState {
+	return register.MemberState{
 		Member: 2, Voting: true, Generation: ballot(4), Promised: ballot(9),
 		Fences: register.Ballots{1: ballot(3), 4: ballot(8)},
 	}
@@ -51,16 +51,16 @@
 // TestMessagesRoundTrip guards against fields that the conversion to protobuf
 // drops. The messages have their fields set, so that a lost one shows.
 func TestMessagesRoundTrip(t *testing.T) {
-	holding := register.Holding{Accepted: ballot(5), Value: newValue(t, 3, 10), Committed: true}
+	acceptedValue := register.AcceptedValue{Accepted: ballot(5), Value: newValue(t, 3, 10), Committed: true}
 	founders := [register.MaxMembers]uint64{1, 2, 3, 4, 5}
-	promise := register.Promise{Standing: standing(), Holding: holding, Ballot: ballot(6), OK: true}
-	accepted := register.Accepted{Standing: standing(), Ballot: ballot(6), OK: true}
-	report := register.Report{Standing: standing(), Holding: holding}
+	promise := register.Promise{MemberState: memberState(), AcceptedValue: acceptedValue, Ballot: ballot(6), OK: true}
+	accepted := register.Accepted{MemberState: memberState(), Ballot: ballot(6), OK: true}
+	report := register.Report{MemberState: memberState(), AcceptedValue: acceptedValue}
 	probeReply := register.ProbeReply{
-		Standing: standing(), Echo: 1, Round: 2, Nonce: 3, Empty: true, Founders: founders,
+		MemberState: memberState(), Echo: 1, Round: 2, Nonce: 3, Empty: true, Founders: founders,
 	}
 	fenced := register.Fenced{
-		Standing: standing(), Holding: holding, Ballot: ballot(6), OK: true, Founders: founders,
+		MemberState: memberState(), AcceptedValue: acceptedValue, Ballot: ballot(6), OK: true, Founders: founders,
 	}
 	is := is.New(t)
 	is.Equal(promiseFromProto(encodeAndDecode(t, promiseToProto(promise))), promise)
--- a/internal/adapter/registergrpc/message.go
+++ b/internal/adapter/registergrpc/message.go
@@ -28,67 +28,67 @@
 
 func promiseToProto(p register.Promise) *registerv1.PrepareResponse {
 	return &registerv1.PrepareResponse{
-		Standing: standingToProto(p.Standing), Ballot: ballotToProto(p.Ballot), Ok: p.OK,
-		Holding: holdingToProto(p.Holding),
+		Standing: memberStateToProto(p.MemberState), Ballot: ballotToProto(p.Ballot), Ok: p.OK,
+		Holding: acceptedValueToProto(p.AcceptedValue),
 	}
 }
 
 func promiseFromProto(m *registerv1.PrepareResponse) register.Promise {
 	return register.Promise{
-		Standing: standingFromProto(m.GetStanding()), Ballot: ballotFromProto(m.GetBallot()), OK: m.GetOk(),
-		Holding: holdingFromProto(m.GetHolding()),
+		MemberState: memberStateFromProto(m.GetStanding()), Ballot: ballotFromProto(m.GetBallot()), OK: m.GetOk(),
+		AcceptedValue: acceptedValueFromProto(m.GetHolding()),
 	}
 }
 
 func acceptedToProto(a register.Accepted) *registerv1.AcceptResponse {
 	return &registerv1.AcceptResponse{
-		Standing: standingToProto(a.Standing), Ballot: ballotToProto(a.Ballot), Ok: a.OK,
+		Standing: memberStateToProto(a.MemberState), Ballot: ballotToProto(a.Ballot), Ok: a.OK,
 	}
 }
 
 func acceptedFromProto(m *registerv1.AcceptResponse) register.Accepted {
 	return register.Accepted{
-		Standing: standingFromProto(m.GetStanding()), Ballot: ballotFromProto(m.GetBallot()), OK: m.GetOk(),
+		MemberState: memberStateFromProto(m.GetStanding()), Ballot: ballotFromProto(m.GetBallot()), OK: m.GetOk(),
 	}
 }
 
 func reportToProto(r register.Report) *registerv1.QueryResponse {
 	return &registerv1.QueryResponse{
-		Standing: standingToProto(r.Standing), Holding: holdingToProto(r.Holding),
+		Standing: memberStateToProto(r.MemberState), Holding: acceptedValueToProto(r.AcceptedValue),
 	}
 }
 
 func reportFromProto(m *registerv1.QueryResponse) register.Report {
 	return register.Report{
-		Standing: standingFromProto(m.GetStanding()), Holding: holdingFromProto(m.GetHolding()),
+		MemberState: memberStateFromProto(m.GetStanding()), AcceptedValue: acceptedValueFromProto(m.GetHolding()),
 	}
 }
 
 func probeReplyToProto(p register.ProbeReply) *registerv1.ProbeResponse {
 	return &registerv1.ProbeResponse{
-		Standing: standingToProto(p.Standing), Echo: p.Echo, Round: p.Round,
+		Standing: memberStateToProto(p.MemberState), Echo: p.Echo, Round: p.Round,
 		Nonce: p.Nonce, Empty: p.Empty, Founders: p.Founders[:],
 	}
 }
 
 func probeReplyFromProto(m *registerv1.ProbeResponse) register.ProbeReply {
 	return register.ProbeReply{
-		Standing: standingFromProto(m.GetStanding()), Echo: m.GetEcho(), Round: m.GetRound(),
+		MemberState: memberStateFromProto(m.GetStanding()), Echo: m.GetEcho(), Round: m.GetRound(),
 		Nonce: m.GetNonce(), Empty: m.GetEmpty(), Founders: noncesFromProto(m.GetFounders()),
 	}
 }
 
 func fencedToProto(f register.Fenced) *registerv1.FenceResponse {
 	return &registerv1.FenceResponse{
-		Standing: standingToProto(f.Standing), Ballot: ballotToProto(f.Ballot), Ok: f.OK,
-		Holding: holdingToProto(f.Holding), Founders: f.Founders[:],
+		Standing: memberStateToProto(f.MemberState), Ballot: ballotToProto(f.Ballot), Ok: f.OK,
+		Holding: acceptedValueToProto(f.AcceptedValue), Founders: f.Founders[:],
 	}
 }
 
 func fencedFromProto(m *registerv1.FenceResponse) register.Fenced {
 	return register.Fenced{
-		Standing: standingFromProto(m.GetStanding()), Ballot: ballotFromProto(m.GetBallot()), OK: m.GetOk(),
-		Holding: holdingFromProto(m.GetHolding()), Founders: noncesFromProto(m.GetFounders()),
+		MemberState: memberStateFromProto(m.GetStanding()), Ballot: ballotFromProto(m.GetBallot()), OK: m.GetOk(),
+		AcceptedValue: acceptedValueFromProto(m.GetHolding()), Founders: noncesFromProto(m.GetFounders()),
 	}
 }
 
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -23,7 +23,7 @@
 		switch {
 		case state.Voting:
 			start = nil
-		case start == nil || !start.Of(state):
+		case start == nil || !start.IsFor(state):
 			start = register.NewStart(n.group, n.self, state)
 		}
 		if start != nil {
@@ -60,7 +60,7 @@
 	if n.failed != nil {
 		return
 	}
-	n.acceptor.Found(founders)
+	n.acceptor.FoundGroup(founders)
 	if n.saveBoth() == nil {
 		event.Log(context.Background(), n.logger, event.VotesFresh)
 	}
--- a/internal/app/control/keepup.go
+++ b/internal/app/control/keepup.go
@@ -46,7 +46,7 @@
 // value, and learns the newest value that any of them knows to be chosen.
 func (n *Node) readRound(ctx context.Context) *register.Read {
 	began := n.clock.Now()
-	read := register.NewRead(n.group, n.queries.Add(1), n.holding())
+	read := register.NewRead(n.group, n.queries.Add(1), n.acceptedValue())
 	query := read.Query()
 	round[register.Report]{
 		local:  func() (register.Report, error) { return n.Query(query) },
@@ -74,7 +74,7 @@
 func (n *Node) stepDown(read *register.Read) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.failed != nil || !n.acceptor.Overtaken(read.Fences()) {
+	if n.failed != nil || !n.acceptor.IsStale(read.Fences()) {
 		return
 	}
 	event.Log(context.Background(), n.logger, event.StateOlder)
--- a/internal/app/control/member.go
+++ b/internal/app/control/member.go
@@ -52,7 +52,7 @@
 }
 
 // learnValue adopts a value that is known to be chosen.
-func (n *Node) learnValue(h register.Holding) error {
+func (n *Node) learnValue(h register.AcceptedValue) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.failed != nil {
@@ -111,11 +111,11 @@
 	return n.acceptor.State()
 }
 
-// holding returns what the member accepted. Attempts and query rounds start from
-// it, so that other members needn't send that value.
-func (n *Node) holding() register.Holding {
+// acceptedValue returns what the member accepted. Attempts and query rounds
+// start from it, so that other members needn't send that value.
+func (n *Node) acceptedValue() register.AcceptedValue {
 	s := n.snapshot()
-	return register.Holding{Accepted: s.Accepted, Value: s.Value, Committed: s.Accepted == s.Committed}
+	return register.AcceptedValue{Accepted: s.Accepted, Value: s.Value, Committed: s.Accepted == s.Committed}
 }
 
 // nextBallot returns a ballot higher than seen and than every ballot that the
--- a/internal/app/control/propose.go
+++ b/internal/app/control/propose.go
@@ -102,7 +102,7 @@
 	seen := register.Ballot{}
 	for tries := 0; ctx.Err() == nil && n.failure() == nil; tries++ {
 		began, started := n.clock.Now(), time.Now()
-		a := register.NewAttempt(n.group, n.nextBallot(seen), n.holding(), decide)
+		a := register.NewAttempt(n.group, n.nextBallot(seen), n.acceptedValue(), decide)
 		n.attempt(ctx, a)
 		switch out, err := a.Outcome(); {
 		case a.Phase() == register.Chosen:
@@ -152,7 +152,7 @@
 // learns the value by anti-entropy.
 func (n *Node) sendLearn(a *register.Attempt) {
 	learn := a.Learn()
-	_ = n.learnValue(register.Holding{Accepted: a.Ballot(), Value: a.Value(), Committed: true})
+	_ = n.learnValue(register.AcceptedValue{Accepted: a.Ballot(), Value: a.Value(), Committed: true})
 	for _, to := range n.remotes {
 		if to != nil {
 			n.send(func() { _ = to.Learn(n.sendCtx, learn) })
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -106,7 +106,7 @@
 	// controller.
 	localAnnounceSeq map[string]uint64
 	announceSeq      uint64
-	ballots          *lease.Ballots
+	grantedVotes     *lease.GrantedVotes
 	regions          map[string]*region
 	// loads holds the last reported load of each region and service; loans,
 	// the last reported loans by lending region.
@@ -128,7 +128,7 @@
 		config: config, ports: ports, incarnation: uint64(now.UnixNano()),
 		peers: make(map[string]*peer), state: &fleet.State{},
 		gateways: make(map[string]port.Gateway), watchers: make(map[string]time.Time), endpoints: registry.New(endpointRetention),
-		localAnnounceSeq: make(map[string]uint64), ballots: lease.NewBallots(now),
+		localAnnounceSeq: make(map[string]uint64), grantedVotes: lease.NewGrantedVotes(now),
 		regions: make(map[string]*region), loads: make(map[loadKey]reportedLoad), loans: make(map[string]reportedLoans),
 		proposing: make(chan struct{}, 1), changed: make(chan struct{}), seeds: config.Seeds,
 	}
@@ -243,14 +243,14 @@
 	return keys
 }
 
-// newDispatchSetup returns the parameters of a region's pool. The pool's retry
+// newDispatchConfig returns the parameters of a region's pool. The pool's retry
 // budget is an equal share of the system's. mu is held during every call to a
 // pool, so also when the pool calls the functions given here.
-func (c *Controller) newDispatchSetup(region string) dispatch.Setup {
+func (c *Controller) newDispatchConfig(region string) dispatch.Config {
 	retries := c.config.Retries
 	retries.Extra /= float64(len(c.regions))
-	return dispatch.Setup{
-		Retries: retries, Region: region, Way: c.roundTrip, MaxShift: c.config.MaxShift,
+	return dispatch.Config{
+		Retries: retries, Region: region, RoundTrip: c.roundTrip, MaxShift: c.config.MaxShift,
 		RegionOf: func(zone string) string { return c.config.Zones[zone] },
 		ColdRate: func(service string) float64 {
 			for _, s := range c.state.Config.Services {
@@ -260,6 +260,6 @@
 			}
 			return 0
 		},
-		Draw: rand.Float64,
+		Random: rand.Float64,
 	}
 }
--- a/internal/app/controller/dispatch.go
+++ b/internal/app/controller/dispatch.go
@@ -46,8 +46,8 @@
 	for _, r := range c.regions {
 		holds := c.holds(now, r)
 		if holds && !c.shouldDispatch(now, r) {
-			r.candidate.Resign()
-			c.ballots.Drop(r.name, c.config.Address)
+			r.candidate.DiscardVotes()
+			c.grantedVotes.ReleaseVote(r.name, c.config.Address)
 			r.resigned = true
 			holds = false
 		}
@@ -72,7 +72,7 @@
 	heldByOther := r.holder != c.config.Address && now.Before(r.until)
 	dispatches := hasMajority || !heldByOther && c.shouldDispatch(now, r)
 	if dispatches && r.pool == nil {
-		r.pool = dispatch.NewPool(fmt.Sprintf("%s/%d/", r.name, now.UnixNano()), c.newDispatchSetup(r.name))
+		r.pool = dispatch.NewPool(fmt.Sprintf("%s/%d/", r.name, now.UnixNano()), c.newDispatchConfig(r.name))
 		r.waiting = make(map[string]chan dispatch.Decision)
 		c.fillPool(now, r)
 		event.Log(context.Background(), c.ports.Logger, event.DispatchBegun,
@@ -90,7 +90,7 @@
 		c.notifyChanged()
 	}
 	if r.pool != nil {
-		r.pool.SetFirm(now, hasMajority)
+		r.pool.SetExclusive(now, hasMajority)
 	}
 }
 
@@ -99,7 +99,7 @@
 func (c *Controller) noteMembershipChange(now time.Time) {
 	for _, r := range c.regions {
 		if r.pool != nil {
-			r.pool.Unsettle(now)
+			r.pool.SuspendShiftLimit(now)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	}
 	best := c.self(now)
 	for _, p := range c.peers {
-		if live(now, p.Heard) && lease.Before(r.name, p.Region, p.Address, best.Region, best.Address) {
+		if live(now, p.Heard) && lease.Precedes(r.name, p.Region, p.Address, best.Region, best.Address) {
 			best = p.Controller
 		}
 	}
@@ -186,7 +186,7 @@
 		if !c.shouldDispatch(now, r) {
 			continue
 		}
-		r.candidate.Voted(c.config.Address, now, c.ballots.Ask(now, name, c.config.Address))
+		r.candidate.RecordReply(c.config.Address, now, c.grantedVotes.RequestVote(now, name, c.config.Address))
 		out = append(out, name)
 	}
 	return out
@@ -283,7 +283,7 @@
 	if r == nil || r.pool == nil {
 		return dispatch.Decision{}, nil, fmt.Errorf("%w: %q", port.ErrNotDispatcher, a.Region)
 	}
-	if d, decided := r.pool.Acquire(now, a.Ask); decided {
+	if d, decided := r.pool.Acquire(now, a.SlotRequest); decided {
 		return d, nil, nil
 	}
 	wait := make(chan dispatch.Decision, 1)
@@ -315,8 +315,8 @@
 // deliver sends decisions to the callers that wait for them. Must hold mu.
 func (c *Controller) deliver(r *region, decisions []dispatch.Decision) {
 	for _, d := range decisions {
-		if wait := r.waiting[d.Ask.ID]; wait != nil {
-			delete(r.waiting, d.Ask.ID)
+		if wait := r.waiting[d.Request.ID]; wait != nil {
+			delete(r.waiting, d.Request.ID)
 			wait <- d
 		}
 	}
--- a/internal/app/controller/endpoints.go
+++ b/internal/app/controller/endpoints.go
@@ -38,7 +38,7 @@
 	c.mu.Lock()
 	e, known := c.endpoints.Get(id)
 	if known {
-		e.Leaving, e.Gone, e.Heard = true, true, c.ports.Clock.Now()
+		e.Leaving, e.Gone, e.LastSeen = true, true, c.ports.Clock.Now()
 		c.receiveAnnouncement(e)
 	}
 	c.mu.Unlock()
@@ -61,14 +61,14 @@
 // and reports whether it changed the registry. Must hold mu.
 func (c *Controller) learnEndpoint(e registry.Endpoint) bool {
 	before, known := c.endpoints.Get(e.ID)
-	if !c.endpoints.Learn(e) {
+	if !c.endpoints.Record(e) {
 		return false
 	}
 	c.updatePools(e)
-	if !known || before.Born != e.Born || before.Leaving != e.Leaving || before.Gone != e.Gone {
+	if !known || before.StartedMillis != e.StartedMillis || before.Leaving != e.Leaving || before.Gone != e.Gone {
 		event.Log(context.Background(), c.ports.Logger, event.EndpointChanged,
 			slog.String("endpoint", e.ID), slog.String("service", e.Service), slog.String("address", e.Address),
-			slog.Int64("born", e.Born), slog.Int64("sequence", e.Sequence),
+			slog.Int64("born", e.StartedMillis), slog.Int64("sequence", e.Sequence),
 			slog.Bool("leaving", e.Leaving), slog.Bool("gone", e.Gone))
 		c.notifyChanged()
 	}
--- a/internal/app/controller/peers.go
+++ b/internal/app/controller/peers.go
@@ -226,7 +226,7 @@
 		c.learnEndpoint(e)
 	}
 	for name, r := range c.regions {
-		r.candidate.Voted(p.Address, sentAt, slices.Contains(reply.Grants, name))
+		r.candidate.RecordReply(p.Address, sentAt, slices.Contains(reply.Grants, name))
 	}
 	for _, l := range reply.Known {
 		c.recordLease(l)
@@ -263,10 +263,10 @@
 		Controllers: c.liveControllers(now), Known: c.heldLeases(now),
 	}
 	for _, name := range n.Drops {
-		c.ballots.Drop(name, n.From.Address)
+		c.grantedVotes.ReleaseVote(name, n.From.Address)
 	}
 	for _, name := range n.Asks {
-		if c.ballots.Ask(now, name, n.From.Address) {
+		if c.grantedVotes.RequestVote(now, name, n.From.Address) {
 			reply.Grants = append(reply.Grants, name)
 		}
 	}
--- a/internal/app/controller/propose.go
+++ b/internal/app/controller/propose.go
@@ -118,7 +118,7 @@
 		return true, quorum.Accepted{}, a.Err()
 	case quorum.Chosen:
 		c.announceChosen(epoch, a.Result())
-		return !a.Kept(), a.Result(), a.Err()
+		return !a.EpochSealed(), a.Result(), a.Err()
 	default:
 		return false, quorum.Accepted{}, nil
 	}
@@ -234,7 +234,7 @@
 // its ballot alone, and the value only if that call fails. A value that seals
 // the epoch isn't sent: it opens the next epoch here.
 func (c *Controller) announceChosen(epoch quorum.Epoch, chosen quorum.Accepted) {
-	if next, seed, sealed := quorum.Following(epoch, chosen.Value); sealed {
+	if next, seed, sealed := quorum.NextEpoch(epoch, chosen.Value); sealed {
 		c.openEpoch(epoch, next, seed, chosen)
 		return
 	}
--- a/internal/app/entry/claimtable.go
+++ b/internal/app/entry/claimtable.go
@@ -22,14 +22,14 @@
 // claimTable guards the claims of this incarnation and wakes resends that wait
 // for the outcome of the attempt in progress.
 type claimTable struct {
-	self claims.Home
+	self claims.Coordinator
 
 	mu      sync.Mutex
 	table   *claims.Table
 	waiting map[string]chan struct{} // closed when the attempt ends
 }
 
-func newClaimTable(self claims.Home) *claimTable {
+func newClaimTable(self claims.Coordinator) *claimTable {
 	config := claims.Config{
 		MaxEntries: maxClaims,
 		MaxBytes:   maxClaimBytes,
--- a/internal/app/entry/crash_test.go
+++ b/internal/app/entry/crash_test.go
@@ -44,7 +44,7 @@
 						req.Origin = placeOf[name]
 						tc.resend(tc.entry(name), req)
 					}
-					time.Sleep(quarantine.DefaultConfig().Blame + 2*time.Second)
+					time.Sleep(quarantine.DefaultConfig().DetectionTimeout + 2*time.Second)
 				}
 				expectListed := func(want int) {
 					for name := range placeOf {
@@ -65,7 +65,7 @@
 				time.Sleep(2 * time.Second)
 				expectListed(0)
 				tc.resend(tc.entry("b1"), req)
-				time.Sleep(quarantine.DefaultConfig().Blame + 2*time.Second)
+				time.Sleep(quarantine.DefaultConfig().DetectionTimeout + 2*time.Second)
 				is.Equal(tc.calls.ran(), 4)
 				expectListed(1) // although the lift is still being broadcast
 			})
--- a/internal/app/entry/crossing.go
+++ b/internal/app/entry/crossing.go
@@ -21,7 +21,7 @@
 	charge budget.Charge
 	// link reserves bytes in both directions of the link between the regions;
 	// it is empty if both places are in one region.
-	link *budget.Hold
+	link *budget.Reservation
 }
 
 // admitCrossing admits a request that is served outside its place of origin, if
@@ -31,7 +31,7 @@
 	if req.Origin == key.place {
 		return nil, nil
 	}
-	choice, ok := e.snapshot.Load().table.Crossing(req.Service, req.Origin, key.place)
+	choice, ok := e.snapshot.Load().table.ChoiceAt(req.Service, req.Origin, key.place)
 	if !ok {
 		return nil, errCapReached()
 	}
@@ -88,18 +88,18 @@
 // count for one more window. So every window around the arrival counts them,
 // however long writing takes.
 type attemptGate struct {
-	crossing *crossing
-	hold     atomic.Pointer[budget.Hold] // nil before Open and after it is settled or released
+	crossing    *crossing
+	reservation atomic.Pointer[budget.Reservation] // nil before Open and after it is settled or released
 }
 
 // Open implements port.Gate.
 func (g *attemptGate) Open() error {
 	e := g.crossing.entry
-	hold := e.ledger.take(e.clock.Now(), g.crossing.charge.Rules)
-	if hold == nil {
+	reservation := e.ledger.take(e.clock.Now(), g.crossing.charge.Rules)
+	if reservation == nil {
 		return errCapReached()
 	}
-	g.hold.Store(hold)
+	g.reservation.Store(reservation)
 	for _, rule := range g.crossing.charge.Rules {
 		e.meter.Moved(rule)
 	}
@@ -108,14 +108,15 @@
 
 // Written implements port.Gate.
 func (g *attemptGate) Written() {
-	time.AfterFunc(budget.DefaultTransit, g.settleHold)
+	time.AfterFunc(budget.DefaultTransit, g.settleReservation)
 }
 
-// settleHold ends the reservation; the attempt counts from now on for a window.
-func (g *attemptGate) settleHold() {
+// settleReservation ends the reservation; the attempt counts from now on for a
+// window.
+func (g *attemptGate) settleReservation() {
 	e := g.crossing.entry
-	if hold := g.hold.Swap(nil); hold != nil {
-		e.ledger.settle(e.clock.Now(), hold, 0)
+	if reservation := g.reservation.Swap(nil); reservation != nil {
+		e.ledger.settle(e.clock.Now(), reservation, 0)
 	}
 }
 
@@ -124,10 +125,10 @@
 // counts.
 func (g *attemptGate) end(err error) {
 	if verdict.Of(err) != verdict.NotRun || verdict.ReasonOf(err) == verdict.ReasonShed {
-		g.settleHold()
+		g.settleReservation()
 		return
 	}
-	if hold := g.hold.Swap(nil); hold != nil {
-		g.crossing.entry.ledger.release(hold)
+	if reservation := g.reservation.Swap(nil); reservation != nil {
+		g.crossing.entry.ledger.release(reservation)
 	}
 }
--- a/internal/app/entry/endpoint_death.go
+++ b/internal/app/entry/endpoint_death.go
@@ -31,7 +31,7 @@
 // broadcastTimeout. The caller receives the failure after that, so that a
 // resend through another entry finds the request held back there.
 func (e *Entry) recordRunEnd(to port.Endpoint, o ownedRequest, err error) {
-	end := quarantine.Lost
+	end := quarantine.Abandoned
 	switch verdict.Of(err) {
 	case verdict.Ran:
 		end = quarantine.Answered
@@ -84,8 +84,8 @@
 // presumeDead attributes the presumed death of an endpoint, which broke a
 // connection or became unresponsive, to the requests that ran on it. The
 // endpoint stays in use: admission has its own failure detector.
-func (e *Entry) presumeDead(endpoint quarantine.Silent) {
-	e.broadcast(e.attributeDeath(e.clock.Now(), endpoint.Endpoint, endpoint.Number))
+func (e *Entry) presumeDead(endpoint quarantine.UnresponsiveEndpoint) {
+	e.broadcast(e.attributeDeath(e.clock.Now(), endpoint.Endpoint, endpoint.Incarnation))
 }
 
 // attributeDeath attributes the death of an endpoint to the requests that ran
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -91,7 +91,7 @@
 // document.
 func New(config Config, ports Ports) *Entry {
 	now := ports.Clock.Now()
-	self := claims.Home{Entry: config.Name, Incarnation: config.Incarnation}
+	self := claims.Coordinator{Entry: config.Name, Incarnation: config.Incarnation}
 	return &Entry{
 		config:       config,
 		clock:        ports.Clock,
--- a/internal/app/entry/group.go
+++ b/internal/app/entry/group.go
@@ -185,7 +185,7 @@
 func (g *group) markEndpointLost(now time.Time, endpoint string, incarnation uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.state.Lost(now, endpoint, incarnation)
+	g.state.MarkLost(now, endpoint, incarnation)
 }
 
 func (g *group) stats(now time.Time) admission.Stats {
--- a/internal/app/entry/group_test.go
+++ b/internal/app/entry/group_test.go
@@ -22,13 +22,13 @@
 	})
 	clock := port.ClockFunc(func() time.Time { return now })
 	for id := range uint64(50) {
-		warm := admission.Ticket{ID: 1000 + id, Deadline: now.Add(time.Minute), Own: true}
+		warm := admission.Ticket{ID: 1000 + id, Deadline: now.Add(time.Minute), Local: true}
 		if _, err := g.admit(t.Context(), clock, warm); err != nil {
 			t.Fatal(err)
 		}
 		g.done(now, warm.ID, admission.Result{Kind: admission.OK, Latency: time.Second})
 	}
-	first := admission.Ticket{ID: 1, Deadline: now.Add(time.Minute), Own: true}
+	first := admission.Ticket{ID: 1, Deadline: now.Add(time.Minute), Local: true}
 	if _, err := g.admit(t.Context(), clock, first); err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
-			_, err := g.admit(ctx, clock, admission.Ticket{ID: 2, Deadline: now.Add(time.Minute), Own: true})
+			_, err := g.admit(ctx, clock, admission.Ticket{ID: 2, Deadline: now.Add(time.Minute), Local: true})
 			ended <- err
 		}()
 		<-g.queued // the request is queued
@@ -120,7 +120,7 @@
 	g := oneSlot(t, now)
 	wait := make(chan admission.Grant, 1)
 	g.mu.Lock()
-	decision := g.state.Offer(now, admission.Ticket{ID: 2, Deadline: now.Add(time.Minute), Own: true})
+	decision := g.state.Offer(now, admission.Ticket{ID: 2, Deadline: now.Add(time.Minute), Local: true})
 	g.waiting[2] = wait
 	g.mu.Unlock()
 	is.Equal(decision.Kind, admission.Queued)
--- a/internal/app/entry/ledger.go
+++ b/internal/app/entry/ledger.go
@@ -41,25 +41,25 @@
 	l.table.SetVersions(now, versions)
 }
 
-func (l *ledger) admit(now time.Time, c budget.Charge) *budget.Hold {
+func (l *ledger) admit(now time.Time, c budget.Charge) *budget.Reservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Admit(now, c)
 }
 
-func (l *ledger) take(now time.Time, rules []string) *budget.Hold {
+func (l *ledger) take(now time.Time, rules []string) *budget.Reservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Take(now, rules)
 }
 
-func (l *ledger) settle(now time.Time, h *budget.Hold, bytes int64) {
+func (l *ledger) settle(now time.Time, h *budget.Reservation, bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table.Settle(now, h, bytes)
 }
 
-func (l *ledger) release(h *budget.Hold) {
+func (l *ledger) release(h *budget.Reservation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table.Release(h)
@@ -68,7 +68,7 @@
 func (l *ledger) loanRequests(now time.Time) []budget.BorrowRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.table.Wants(now)
+	return l.table.LoanRequests(now)
 }
 
 func (l *ledger) lend(now time.Time, r budget.BorrowRequest) budget.Grant {
@@ -80,7 +80,7 @@
 func (l *ledger) recordLoan(now time.Time, r budget.BorrowRequest, sentAt time.Time, g budget.Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Borrowed(now, r, sentAt, g)
+	l.table.RecordLoan(now, r, sentAt, g)
 }
 
 // loanLoop borrows unused shares of other entries while this entry's own are
--- a/internal/app/entry/lookup.go
+++ b/internal/app/entry/lookup.go
@@ -86,7 +86,7 @@
 // keyToken returns the token that begins the keys whose coordinator is the
 // given incarnation of an entry.
 func (e *Entry) keyToken(m membership.Member) string {
-	coordinator := claims.Home{Entry: m.Name, Incarnation: m.Incarnation}
+	coordinator := claims.Coordinator{Entry: m.Name, Incarnation: m.Incarnation}
 	return claims.NewToken(coordinator, e.clock.Now())
 }
 
--- a/internal/app/entry/members.go
+++ b/internal/app/entry/members.go
@@ -88,7 +88,7 @@
 func (m *members) mayLeave(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Relieved(now)
+	return m.table.MayLeave(now)
 }
 
 // roundTripWeight is the divisor that gives a new sample's weight in the moving
--- a/internal/app/entry/once.go
+++ b/internal/app/entry/once.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, verdict.NewError(verdict.NotRun, verdict.ReasonNoKey, err)
 	}
-	if mayForward && key.Home != e.claims.self {
+	if mayForward && key.Coordinator != e.claims.self {
 		return e.forwardToCoordinator(ctx, req, key)
 	}
 	fp := fingerprintOf(req)
@@ -97,14 +97,14 @@
 // that it handed over. Only the coordinator knows whether an earlier attempt
 // ran, so without those claims the verdict is MayHaveRun.
 func (e *Entry) forwardToCoordinator(ctx context.Context, req *port.Request, key claims.Key) (*port.Response, error) {
-	if address, ok := e.coordinatorAddress(e.clock.Now(), key.Home); ok {
+	if address, ok := e.coordinatorAddress(e.clock.Now(), key.Coordinator); ok {
 		response, err := e.forward(ctx, address, port.Forward{Hop: port.HopHome, Request: req})
 		if !errors.Is(err, port.ErrPeerUnreachable) {
 			return response, err
 		}
 	}
 	response, err := e.serveOnce(ctx, req, false)
-	if verdict.Of(err) != verdict.MayHaveRun || verdict.ReasonOf(err) != verdict.ReasonHomeLost {
+	if verdict.Of(err) != verdict.MayHaveRun || verdict.ReasonOf(err) != verdict.ReasonCoordinatorLost {
 		return response, err
 	}
 	return e.querySuccessors(ctx, req, key, err)
@@ -112,7 +112,7 @@
 
 // coordinatorAddress returns the peer address of a key's coordinator while that
 // incarnation is live.
-func (e *Entry) coordinatorAddress(now time.Time, coordinator claims.Home) (string, bool) {
+func (e *Entry) coordinatorAddress(now time.Time, coordinator claims.Coordinator) (string, bool) {
 	s := e.snapshot.Load()
 	member, ok := e.members.member(now, coordinator.Entry)
 	if !ok || member.Incarnation != coordinator.Incarnation {
@@ -126,7 +126,7 @@
 // have its claims after a planned stop. None of them can start the request.
 func (e *Entry) querySuccessors(ctx context.Context, req *port.Request, key claims.Key, lost error) (*port.Response, error) {
 	s := e.snapshot.Load()
-	coordinator, ok := s.entries[key.Home.Entry]
+	coordinator, ok := s.entries[key.Coordinator.Entry]
 	if !ok {
 		return nil, lost
 	}
@@ -150,7 +150,7 @@
 		return true
 	}
 	reason := verdict.ReasonOf(err)
-	unknown := reason == verdict.ReasonHomeLost || reason == verdict.ReasonPeer
+	unknown := reason == verdict.ReasonCoordinatorLost || reason == verdict.ReasonPeer
 	return verdict.Of(err) == verdict.MayHaveRun && unknown
 }
 
--- a/internal/app/entry/own.go
+++ b/internal/app/entry/own.go
@@ -159,7 +159,7 @@
 	ticket := admission.Ticket{
 		ID:       o.group.ticket.Add(1),
 		Deadline: o.req.Deadline,
-		Own:      o.crossing == nil,
+		Local:    o.crossing == nil,
 		Exclude:  exclude,
 	}
 	run, err := e.admitRun(ctx, o, ticket)
--- a/internal/app/entry/suspects.go
+++ b/internal/app/entry/suspects.go
@@ -46,7 +46,7 @@
 func (s *suspects) startRun(now time.Time, to port.Endpoint, o ownedRequest) (quarantine.Admission, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	decision := s.table.Started(now, to.ID, to.Incarnation, o.fp, o.req.Service)
+	decision := s.table.StartRun(now, to.ID, to.Incarnation, o.fp, o.req.Service)
 	return decision, s.changed
 }
 
@@ -61,7 +61,7 @@
 func (s *suspects) endRun(now time.Time, to port.Endpoint, o ownedRequest, end quarantine.End) quarantineUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change := s.table.Ended(now, to.ID, to.Incarnation, o.fp, end)
+	change := s.table.EndRun(now, to.ID, to.Incarnation, o.fp, end)
 	s.wake()
 	return s.newUpdate(now, change)
 }
@@ -69,7 +69,7 @@
 func (s *suspects) recordDeath(now time.Time, endpoint string, incarnation uint64) quarantineUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change := s.table.Died(now, endpoint, incarnation)
+	change := s.table.RecordDeath(now, endpoint, incarnation)
 	s.wake()
 	return s.newUpdate(now, change)
 }
@@ -79,14 +79,14 @@
 	var rows []port.QuarantineRow
 	for _, f := range change.Suspected {
 		rows = append(rows, port.QuarantineRow{
-			Fingerprint: f.String(), Remaining: remoteHold, Suspected: true, Version: s.table.Changed(now, f),
+			Fingerprint: f.String(), Remaining: remoteHold, Suspected: true, Version: s.table.NewChangeVersion(now, f),
 		})
 	}
 	for _, f := range change.Quarantined {
-		rows = append(rows, port.QuarantineRow{Fingerprint: f.String(), Remaining: remoteHold, Version: s.table.Changed(now, f)})
+		rows = append(rows, port.QuarantineRow{Fingerprint: f.String(), Remaining: remoteHold, Version: s.table.NewChangeVersion(now, f)})
 	}
 	for _, f := range change.Lifted {
-		rows = append(rows, port.QuarantineRow{Fingerprint: f.String(), Lifted: true, Version: s.table.Lifted(now, f)})
+		rows = append(rows, port.QuarantineRow{Fingerprint: f.String(), Lifted: true, Version: s.table.NewLiftVersion(now, f)})
 	}
 	return quarantineUpdate{change, rows}
 }
@@ -105,7 +105,7 @@
 		if err != nil {
 			continue
 		}
-		if version, again := s.table.LiftByOrder(now, f); !again {
+		if version, again := s.table.LiftByOperator(now, f); !again {
 			rows = append(rows, port.QuarantineRow{Fingerprint: text, Lifted: true, Version: version})
 		}
 	}
@@ -118,7 +118,7 @@
 func (s *suspects) activeRows(now time.Time) []port.QuarantineRow {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := s.table.Held(now)
+	all := s.table.ActiveEntries(now)
 	rows := make([]port.QuarantineRow, 0, len(all))
 	for _, entry := range all[:min(len(all), maxQueuedRows)] {
 		rows = append(rows, port.QuarantineRow{
@@ -149,7 +149,7 @@
 }
 
 // expire removes what has expired and returns the endpoints to presume dead.
-func (s *suspects) expire(now time.Time) []quarantine.Silent {
+func (s *suspects) expire(now time.Time) []quarantine.UnresponsiveEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Expire(now)
@@ -161,10 +161,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a.State == port.EndpointLeaving {
-		s.table.Left(a.ID, a.Incarnation)
+		s.table.RecordLeaving(a.ID, a.Incarnation)
 		return
 	}
-	s.table.Heard(now, a.ID, a.Incarnation)
+	s.table.RecordReport(now, a.ID, a.Incarnation)
 }
 
 // applyRows applies rows that another entry sent.
@@ -184,14 +184,14 @@
 // that two deaths at different entries lead to quarantine.
 func (s *suspects) applyRow(now time.Time, f fingerprint.Fingerprint, row port.QuarantineRow) {
 	if row.Lifted {
-		s.table.TakeLift(now, f, row.Version)
+		s.table.ApplyLift(now, f, row.Version)
 		return
 	}
-	if !s.table.TakeChange(f, row.Version) {
+	if !s.table.ApplyChange(f, row.Version) {
 		return
 	}
 	if row.Endpoint != "" {
-		s.table.Died(now, row.Endpoint, row.Incarnation, f)
+		s.table.RecordDeath(now, row.Endpoint, row.Incarnation, f)
 	}
 	if row.Suspected {
 		s.table.Suspect(now, f, row.Remaining)
--- a/internal/app/gateway/locate.go
+++ b/internal/app/gateway/locate.go
@@ -40,7 +40,7 @@
 		}
 	}
 	slices.SortFunc(ranked, func(a, b port.Controller) int {
-		if lease.Before(region, a.Region, a.Address, b.Region, b.Address) {
+		if lease.Precedes(region, a.Region, a.Address, b.Region, b.Address) {
 			return -1
 		}
 		return 1
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -201,7 +201,7 @@
 	if s := x.table.Service(x.service); s != nil {
 		connections = s.Connections
 	}
-	return port.Endpoint{ID: e.ID, Incarnation: uint64(e.Born), Address: e.Address, Connections: connections}
+	return port.Endpoint{ID: e.ID, Incarnation: uint64(e.StartedMillis), Address: e.Address, Connections: connections}
 }
 
 // outcomeOf classifies the result of a call for the dispatcher.
@@ -235,7 +235,7 @@
 // gateway's own, or a random home region of the route if the request may not
 // run in its own.
 func (x *inFlightRequest) chooseDispatchRegion() string {
-	homes := x.route.Homes
+	homes := x.route.Regions
 	if len(homes) == 0 || slices.Contains(homes, x.gateway.config.Region) {
 		return x.gateway.config.Region
 	}
@@ -277,10 +277,10 @@
 	incarnation := fmt.Sprintf("%s/%d", g.config.Name, g.incarnation)
 	slotRequest := port.AskSlot{
 		Region: x.dispatchRegion,
-		Ask: dispatch.Ask{
+		SlotRequest: dispatch.SlotRequest{
 			ID: fmt.Sprintf("%s/%d", incarnation, g.serial.Add(1)), Gateway: incarnation, Service: x.service,
 			Kind: x.route.Name, Priority: x.route.Priority, Zone: g.config.Zone, Target: x.route.Target,
-			Deadline: x.request.Deadline, Again: x.tries+x.unreachable > 0, Exclude: x.exclude, Homes: x.route.Homes,
+			Deadline: x.request.Deadline, Retry: x.tries+x.unreachable > 0, Exclude: x.exclude, Regions: x.route.Regions,
 		},
 	}
 	if x.route.Sticky {
--- a/internal/app/gateway/serve_test.go
+++ b/internal/app/gateway/serve_test.go
@@ -241,7 +241,7 @@
 	is := is.New(t)
 	c := &fakeController{}
 	c.answer = func(a port.AskSlot) (dispatch.Decision, error) {
-		if a.Again {
+		if a.Retry {
 			return dispatch.Decision{Reason: dispatch.ReasonRetryBudget, RetryAfter: time.Second}, nil
 		}
 		return dispatch.Decision{Grant: "x", Endpoint: registry.Endpoint{ID: "e"}}, nil
--- a/internal/core/admission/announcement.go
+++ b/internal/core/admission/announcement.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// Lost retires an endpoint whose process was found to have ended. A later
+// MarkLost retires an endpoint whose process was found to have ended. A later
 // announcement of the same incarnation puts it back into use, cold.
-func (g *Group) Lost(now time.Time, id string, incarnation uint64) {
+func (g *Group) MarkLost(now time.Time, id string, incarnation uint64) {
 	e := g.byID[id]
 	if e != nil && e.incarnation == incarnation {
 		g.retire(now, e)
--- a/internal/core/admission/faults_test.go
+++ b/internal/core/admission/faults_test.go
@@ -116,7 +116,7 @@
 
 func (b *harness) offer() {
 	b.nextID++
-	t := admission.Ticket{ID: b.nextID, Deadline: b.now.Add(b.timeout), Own: true}
+	t := admission.Ticket{ID: b.nextID, Deadline: b.now.Add(b.timeout), Local: true}
 	switch d := b.g.Offer(b.now, t); d.Kind {
 	case admission.Granted:
 		b.begin(t.ID, d.Endpoint.ID)
@@ -269,10 +269,10 @@
 			b.g.Announce(b.now, again)
 		}, 4},
 		{"lost, and a stale announcement arrives late", func(b *harness) {
-			b.g.Lost(b.now, "a", 5)
+			b.g.MarkLost(b.now, "a", 5)
 			b.g.Announce(b.now, b.announcement(b.fakes[0]))
 		}, 3},
-		{"another incarnation lost", func(b *harness) { b.g.Lost(b.now, "a", 4) }, 4},
+		{"another incarnation lost", func(b *harness) { b.g.MarkLost(b.now, "a", 4) }, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -308,7 +308,7 @@
 		}
 	}
 	ticket := func(b *harness, own bool, ms int) admission.Ticket {
-		return admission.Ticket{ID: 1 << 40, Own: own, Deadline: b.now.Add(time.Duration(ms) * time.Millisecond)}
+		return admission.Ticket{ID: 1 << 40, Local: own, Deadline: b.now.Add(time.Duration(ms) * time.Millisecond)}
 	}
 	excluded := func(b *harness) admission.Ticket {
 		t := ticket(b, true, 900)
@@ -360,7 +360,7 @@
 	b.offer()
 	deadline := b.now.Add(time.Minute)
 	b.g.Offer(b.now, admission.Ticket{ID: 100, Deadline: deadline})
-	b.g.Offer(b.now, admission.Ticket{ID: 101, Deadline: deadline, Own: true})
+	b.g.Offer(b.now, admission.Ticket{ID: 101, Deadline: deadline, Local: true})
 	grants := b.g.Done(b.now, 1, admission.Result{Latency: time.Millisecond})
 	is.Equal(len(grants), 1)
 	is.Equal(grants[0].Ticket, uint64(101))
@@ -433,18 +433,18 @@
 		if id%5 == 0 {
 			latency = 400 * time.Millisecond
 		}
-		b.g.Offer(b.now, admission.Ticket{ID: id, Own: true, Deadline: b.now.Add(time.Minute)})
+		b.g.Offer(b.now, admission.Ticket{ID: id, Local: true, Deadline: b.now.Add(time.Minute)})
 		b.g.Done(b.now, id, admission.Result{Latency: latency})
 	}
 	b.nextID = 1000
 	for range 3 {
 		b.offer()
 	}
-	refused := b.g.Offer(b.now, admission.Ticket{ID: 1, Own: true, Deadline: b.now.Add(350 * time.Millisecond)})
+	refused := b.g.Offer(b.now, admission.Ticket{ID: 1, Local: true, Deadline: b.now.Add(350 * time.Millisecond)})
 	is.Equal(refused.Reason, verdict.ReasonOverload)
-	queued := b.g.Offer(b.now, admission.Ticket{ID: 2, Own: true, Deadline: b.now.Add(600 * time.Millisecond)})
+	queued := b.g.Offer(b.now, admission.Ticket{ID: 2, Local: true, Deadline: b.now.Add(600 * time.Millisecond)})
 	is.Equal(queued.Kind, admission.Queued)
-	again := b.g.Offer(b.now, admission.Ticket{ID: 2, Own: true, Deadline: b.now.Add(600 * time.Millisecond)})
+	again := b.g.Offer(b.now, admission.Ticket{ID: 2, Local: true, Deadline: b.now.Add(600 * time.Millisecond)})
 	is.Equal(again.Reason, verdict.ReasonInternal) // the same ticket twice
 }
 
--- a/internal/core/admission/group.go
+++ b/internal/core/admission/group.go
@@ -26,10 +26,10 @@
 	ID uint64
 	// Deadline is the time after which the answer is useless.
 	Deadline time.Time
-	// Own is true if the request originates in the group's place. Other
+	// Local is true if the request originates in the group's place. Other
 	// requests are spilled in: they come after own ones and leave the reserve
 	// free.
-	Own bool
+	Local bool
 	// Exclude lists endpoints that must not get the request, because an
 	// earlier attempt went there.
 	Exclude []string
@@ -204,7 +204,7 @@
 }
 
 func (g *Group) queueFor(t Ticket) *queue {
-	if t.Own {
+	if t.Local {
 		return &g.own
 	}
 	return &g.spilled
@@ -223,7 +223,7 @@
 // mayStart reports whether the request may start when a slot is free,
 // according to precedence and reserve.
 func (g *Group) mayStart(t Ticket) bool {
-	if t.Own {
+	if t.Local {
 		return true
 	}
 	if g.own.len() > 0 {
@@ -254,7 +254,7 @@
 	}
 	ahead := g.own.len()
 	slots, _ := g.capacity()
-	if !t.Own {
+	if !t.Local {
 		ahead = waiting
 		slots = slots * (100 - g.cfg.ReservePercent) / 100
 	}
@@ -265,7 +265,7 @@
 	wait := median * time.Duration(ahead+1) / time.Duration(slots)
 	left := t.Deadline.Sub(now)
 	maxWait := min(left/ownWaitDivisor, median)
-	if !t.Own {
+	if !t.Local {
 		maxWait = left / spilledWaitDivisor
 	}
 	return wait <= maxWait && wait+g.serviceTime() < left
--- a/internal/core/budget/bucket.go
+++ b/internal/core/budget/bucket.go
@@ -38,7 +38,8 @@
 	unblockedSince time.Time
 	// use counts the units used, demand the units requested.
 	use, demand *meter
-	// reserved is the sum of the holds of requests whose use isn't known yet.
+	// reserved is the sum of the reservations of requests whose use isn't known
+	// yet.
 	reserved int64
 	// lent and borrowed hold the unexpired loans by borrower and by lender. Of
 	// several loans with one entry only the largest counts.
--- a/internal/core/budget/doc.go
+++ b/internal/core/budget/doc.go
@@ -17,5 +17,6 @@
 // of a request.
 //
 // Terms: a bucket is one entry's part of one cap, a split is how a document
-// divides a cap into shares, and a hold is the reservation of one request.
+// divides a cap into shares, and a reservation is what one request has reserved
+// of them.
 package budget
--- a/internal/core/budget/link_test.go
+++ b/internal/core/budget/link_test.go
@@ -12,9 +12,9 @@
 
 // linkRequest is an admitted request whose bytes haven't all been sent yet.
 type linkRequest struct {
-	hold  *budget.Hold
-	bytes int64
-	sent  int64
+	reservation *budget.Reservation
+	bytes       int64
+	sent        int64
 }
 
 // transfer is a number of bytes that went over the link at one time.
@@ -51,8 +51,8 @@
 			switch rapid.SampledFrom([]string{"take", "take", "transfer", "settle", "wait"}).Draw(rt, "step") {
 			case "take":
 				c := budget.Charge{Link: &budget.LinkID{From: "west", To: "east"}, Bytes: bytes}
-				if hold := l.Admit(now, c); hold != nil {
-					requests = append(requests, &linkRequest{hold: hold, bytes: bytes})
+				if reservation := l.Admit(now, c); reservation != nil {
+					requests = append(requests, &linkRequest{reservation: reservation, bytes: bytes})
 				}
 			case "transfer":
 				for _, r := range requests {
@@ -60,7 +60,7 @@
 				}
 			case "settle":
 				if len(requests) > 0 {
-					l.Settle(now, requests[0].hold, requests[0].sent)
+					l.Settle(now, requests[0].reservation, requests[0].sent)
 					requests = requests[1:]
 				}
 			case "wait":
@@ -77,11 +77,11 @@
 	is := is.New(t)
 	l, _, now := startedLedgers()
 	c := budget.Charge{Rules: []string{"r"}, Link: &budget.LinkID{From: "west", To: "east"}, Bytes: 200_000}
-	hold := l.Admit(now, c)
-	is.True(hold != nil)
+	reservation := l.Admit(now, c)
+	is.True(reservation != nil)
 	is.True(l.Admit(now, c) == nil) // the link has no room
 	is.Equal(takeAll(l, now), 50)
-	l.Settle(now, hold, 1000)
+	l.Settle(now, reservation, 1000)
 	is.True(l.Admit(now, budget.Charge{Rules: c.Rules, Link: c.Link, Bytes: 1000}) == nil) // the rule has none
 	is.True(l.Admit(now, budget.Charge{Link: c.Link, Bytes: 249_000}) != nil)
 	is.True(l.Admit(now, budget.Charge{Rules: []string{"unknown"}}) == nil)
@@ -101,10 +101,10 @@
 	now := epoch.Add(startupWait)
 	c := budget.Charge{Link: &budget.LinkID{From: "west", To: "east"}, Bytes: 1000, AnswerBytes: 200_000}
 	for range 2 {
-		hold := l.Admit(now, c)
-		is.True(hold != nil)
+		reservation := l.Admit(now, c)
+		is.True(reservation != nil)
 		is.True(l.Admit(now, c) == nil)
-		l.Settle(now, hold, 100)
+		l.Settle(now, reservation, 100)
 	}
 	is.True(l.Admit(now, budget.Charge{Link: c.Link, Bytes: 248_001}) == nil) // 2,000 bytes of requests count
 	is.True(l.Admit(now, budget.Charge{Link: c.Link, Bytes: 248_000}) != nil)
--- a/internal/core/budget/loans.go
+++ b/internal/core/budget/loans.go
@@ -20,9 +20,9 @@
 	followUpRequestPercent = 105
 )
 
-// Wants returns the loan requests that this entry should send now. It is called
-// a few times a second; the answers are passed to Borrowed.
-func (l *Ledger) Wants(now time.Time) []BorrowRequest {
+// LoanRequests returns the loan requests that this entry should send now. It is
+// called a few times a second; the answers are passed to RecordLoan.
+func (l *Ledger) LoanRequests(now time.Time) []BorrowRequest {
 	now = l.monotonic(now)
 	if now.Before(l.usableFrom) {
 		return nil
@@ -159,9 +159,9 @@
 	return b.limit - b.lentUnits(now) - need
 }
 
-// Borrowed records the answer to a request that was sent at sentAt. A loan
+// RecordLoan records the answer to a request that was sent at sentAt. A loan
 // requested before the bucket's split changed is ignored.
-func (l *Ledger) Borrowed(now time.Time, r BorrowRequest, sentAt time.Time, g Grant) {
+func (l *Ledger) RecordLoan(now time.Time, r BorrowRequest, sentAt time.Time, g Grant) {
 	now = l.monotonic(now)
 	b, ok := l.buckets[r.Bucket]
 	if !ok || r.BorrowerIncarnation != l.self.Incarnation || r.DocumentVersion < b.current.version {
--- a/internal/core/budget/loans_test.go
+++ b/internal/core/budget/loans_test.go
@@ -16,11 +16,11 @@
 
 // takeOne takes a unit of each rule for a request that arrives at once.
 func takeOne(l *budget.Ledger, now time.Time, rules []string) bool {
-	hold := l.Take(now, rules)
-	if hold == nil {
+	reservation := l.Take(now, rules)
+	if reservation == nil {
 		return false
 	}
-	l.Settle(now, hold, 0)
+	l.Settle(now, reservation, 0)
 	return true
 }
 
@@ -54,20 +54,20 @@
 	one, two, now := startedLedgers()
 	is.Equal(takeAll(one, now), 50)
 	is.Equal(takeAll(two, now), 50)
-	r := one.Wants(now)[0]
+	r := one.LoanRequests(now)[0]
 	is.Equal(r.Lender, "e2")
 	is.Equal(two.Lend(now, r).Units, int64(0)) // used in this window
 
 	now = now.Add(1200 * time.Millisecond)
 	is.Equal(takeAll(one, now), 50)
-	r = one.Wants(now)[0]
+	r = one.LoanRequests(now)[0]
 	sentAt := now
 	now = now.Add(500 * time.Millisecond)
 	g := two.Lend(now, r)
 	is.True(g.Units >= 10)
 	lentAt := now
 	now = now.Add(500 * time.Millisecond)
-	one.Borrowed(now, r, sentAt, g)
+	one.RecordLoan(now, r, sentAt, g)
 	is.Equal(takeAll(two, now), 50-int(g.Units))
 
 	// The borrower's term began when it sent the request; the lender's ends a
@@ -85,7 +85,7 @@
 		Units: units, Term: 3 * time.Second, DocumentVersion: 1,
 	}
 	g := two.Lend(now, r)
-	one.Borrowed(now, r, now, g)
+	one.RecordLoan(now, r, now, g)
 	return r, g
 }
 
@@ -112,7 +112,7 @@
 	one, two, now := startedLedgers()
 	r, g := borrow(one, two, now, 40)
 	one.SetDocument(now, 2, twoEntries(80))
-	one.Borrowed(now, r, now, g) // the answer arrives after the change
+	one.RecordLoan(now, r, now, g) // the answer arrives after the change
 	is.Equal(takeAll(one, now), 40)
 	r.DocumentVersion = 2
 	is.Equal(two.Lend(now, r).Units, int64(0)) // e2 doesn't have version 2 yet
--- a/internal/core/budget/property_test.go
+++ b/internal/core/budget/property_test.go
@@ -48,7 +48,7 @@
 type inFlightRequest struct {
 	sender           *node
 	ledger           *budget.Ledger
-	hold             *budget.Hold
+	reservation      *budget.Reservation
 	bytes            int64 // on the link; 0 for a unit of the rule
 	arrives, settles time.Duration
 	arrived          bool
@@ -123,12 +123,12 @@
 	late := rapid.Bool().Draw(w.rt, "late")
 	bytes := rapid.SampledFrom([]int64{0, 0, 0, 7_000, 60_000}).Draw(w.rt, "bytes")
 	for range limit {
-		hold := n.take(w.clock(n), bytes)
-		if hold == nil {
+		reservation := n.take(w.clock(n), bytes)
+		if reservation == nil {
 			break
 		}
 		f := inFlightRequest{
-			sender: n, ledger: n.ledger, hold: hold, bytes: bytes,
+			sender: n, ledger: n.ledger, reservation: reservation, bytes: bytes,
 			arrives: w.now + delay, settles: w.now + delay,
 		}
 		if late {
@@ -140,7 +140,7 @@
 }
 
 // take reserves bytes on the link, or a unit of the rule when bytes is 0.
-func (n *node) take(now time.Time, bytes int64) *budget.Hold {
+func (n *node) take(now time.Time, bytes int64) *budget.Reservation {
 	if bytes == 0 {
 		return n.ledger.Take(now, ruleNames)
 	}
@@ -178,7 +178,7 @@
 				w.recordArrival(f)
 			}
 			if f.arrived && f.settles <= at {
-				f.ledger.Settle(w.clock(f.sender), f.hold, f.bytes)
+				f.ledger.Settle(w.clock(f.sender), f.reservation, f.bytes)
 				continue
 			}
 			left = append(left, f)
@@ -212,7 +212,7 @@
 
 func (w *simulation) sendLoanRequests(i int) {
 	n := w.nodes[i]
-	for _, r := range n.ledger.Wants(w.clock(n)) {
+	for _, r := range n.ledger.LoanRequests(w.clock(n)) {
 		for k, other := range w.nodes {
 			if other.name == r.Lender {
 				w.messages = append(w.messages, message{to: k, request: &r, sentAt: w.clock(n), from: n.name})
@@ -229,7 +229,7 @@
 	n := w.nodes[m.to]
 	switch {
 	case m.answer != nil:
-		n.ledger.Borrowed(w.clock(n), *m.request, m.sentAt, *m.answer)
+		n.ledger.RecordLoan(w.clock(n), *m.request, m.sentAt, *m.answer)
 	case m.request != nil:
 		grant := n.ledger.Lend(w.clock(n), *m.request)
 		for back, other := range w.nodes {
--- a/internal/core/budget/hold.go
+++ b/internal/core/budget/reservation.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Hold is the units reserved for one request until its use is known. Each must
-// be ended once, by Settle or Release.
-type Hold struct {
-	parts []holdPart
+// Reservation is the units reserved for one request until its use is known.
+// Each must be ended once, by Settle or Release.
+type Reservation struct {
+	parts []reservationPart
 }
 
-// holdPart is what a hold reserves in one bucket.
-type holdPart struct {
+// reservationPart is what a reservation takes in one bucket.
+type reservationPart struct {
 	b     *bucket
 	units int64
 	// isUpperBound is set when fewer units may be used than are reserved.
@@ -20,7 +20,7 @@
 // It returns nil when the link or a rule of the request has no room. A rule
 // that isn't in the document has no room; a link that isn't in the document is
 // unlimited. The rules' units are reserved later, by Take.
-func (l *Ledger) Admit(now time.Time, c Charge) *Hold {
+func (l *Ledger) Admit(now time.Time, c Charge) *Reservation {
 	now = l.monotonic(now)
 	l.raiseLimits(now)
 	rules, known := l.ruleParts(c.Rules)
@@ -30,13 +30,13 @@
 		recordDemand(now, rules)
 		return nil
 	}
-	return newHold(links)
+	return newReservation(links)
 }
 
 // Take reserves one unit of each rule. It returns nil and reserves nothing when
 // one of them has no room. It is called right before a request is sent, once
 // per attempt.
-func (l *Ledger) Take(now time.Time, rules []string) *Hold {
+func (l *Ledger) Take(now time.Time, rules []string) *Reservation {
 	now = l.monotonic(now)
 	l.raiseLimits(now)
 	parts, known := l.ruleParts(rules)
@@ -44,7 +44,7 @@
 	if !known || !allFit(now, parts) {
 		return nil
 	}
-	return newHold(parts)
+	return newReservation(parts)
 }
 
 // Settle ends a hold and counts its actual use at the time now, so that it
@@ -53,7 +53,7 @@
 // counts them, whenever that was since the reservation. bytes is the number of
 // bytes that went over the link: those of the answer if the charge has
 // AnswerBytes, and those of request and answer otherwise.
-func (l *Ledger) Settle(now time.Time, h *Hold, bytes int64) {
+func (l *Ledger) Settle(now time.Time, h *Reservation, bytes int64) {
 	now = l.monotonic(now)
 	for _, u := range h.parts {
 		u.b.reserved -= u.units
@@ -66,19 +66,19 @@
 }
 
 // Release ends a hold whose units weren't used.
-func (l *Ledger) Release(h *Hold) {
+func (l *Ledger) Release(h *Reservation) {
 	for _, u := range h.parts {
 		u.b.reserved -= u.units
 	}
 }
 
-func recordDemand(now time.Time, parts []holdPart) {
+func recordDemand(now time.Time, parts []reservationPart) {
 	for _, u := range parts {
 		u.b.recordDemand(now, u.units)
 	}
 }
 
-func allFit(now time.Time, parts []holdPart) bool {
+func allFit(now time.Time, parts []reservationPart) bool {
 	for _, u := range parts {
 		if !u.b.fits(now, u.units) {
 			return false
@@ -87,16 +87,16 @@
 	return true
 }
 
-func newHold(parts []holdPart) *Hold {
+func newReservation(parts []reservationPart) *Reservation {
 	for _, u := range parts {
 		u.b.reserved += u.units
 	}
-	return &Hold{parts: parts}
+	return &Reservation{parts: parts}
 }
 
 // ruleParts returns one unit of each rule's bucket; false if a rule is unknown.
-func (l *Ledger) ruleParts(names []string) ([]holdPart, bool) {
-	parts := make([]holdPart, 0, len(names))
+func (l *Ledger) ruleParts(names []string) ([]reservationPart, bool) {
+	parts := make([]reservationPart, 0, len(names))
 	known := true
 	for _, name := range names {
 		b, ok := l.buckets[ruleBucket(name)]
@@ -104,23 +104,23 @@
 			known = false
 			continue
 		}
-		parts = append(parts, holdPart{b: b, units: 1})
+		parts = append(parts, reservationPart{b: b, units: 1})
 	}
 	return parts, known
 }
 
 // linkParts returns what a charge reserves of its link in both directions.
-func (l *Ledger) linkParts(c Charge) []holdPart {
+func (l *Ledger) linkParts(c Charge) []reservationPart {
 	if c.Link == nil {
 		return nil
 	}
-	var parts []holdPart
+	var parts []reservationPart
 	if b := l.buckets[linkBucket(*c.Link)]; b != nil && c.Bytes > 0 {
-		parts = append(parts, holdPart{b: b, units: c.Bytes, isUpperBound: c.AnswerBytes <= 0})
+		parts = append(parts, reservationPart{b: b, units: c.Bytes, isUpperBound: c.AnswerBytes <= 0})
 	}
 	back := LinkID{From: c.Link.To, To: c.Link.From}
 	if b := l.buckets[linkBucket(back)]; b != nil && c.AnswerBytes > 0 {
-		parts = append(parts, holdPart{b: b, units: c.AnswerBytes, isUpperBound: true})
+		parts = append(parts, reservationPart{b: b, units: c.AnswerBytes, isUpperBound: true})
 	}
 	return parts
 }
--- a/internal/core/claims/key.go
+++ b/internal/core/claims/key.go
@@ -22,8 +22,8 @@
 // ErrBadKey is returned by ParseKey for a text that isn't a valid key.
 var ErrBadKey = errors.New("bad once-only key")
 
-// Home is the one incarnation of an entry that may start a key.
-type Home struct {
+// Coordinator is the one incarnation of an entry that may start a key.
+type Coordinator struct {
 	// Entry is the entry's name.
 	Entry string
 	// Incarnation changes at each start of the entry.
@@ -32,19 +32,20 @@
 
 // Key identifies a once-only request.
 type Key struct {
-	// Home is the only process that may start the key.
-	Home Home
-	// Minted is when the home issued the token, by its clock, in whole seconds.
+	// Coordinator is the only process that may start the key.
+	Coordinator Coordinator
+	// Minted is when the coordinator issued the token, by its clock, in whole
+	// seconds.
 	Minted time.Time
 	// Unique is the part that the caller chose.
 	Unique string
 }
 
-// NewToken returns the text with which keys of the home begin: entry,
+// NewToken returns the text with which keys of the coordinator begin: entry,
 // incarnation and minting time, separated by dots, the numbers in hexadecimal.
 // A caller appends a dot and its unique part of letters, digits, hyphens and
 // underscores.
-func NewToken(h Home, minted time.Time) string {
+func NewToken(h Coordinator, minted time.Time) string {
 	return strings.Join([]string{
 		h.Entry,
 		strconv.FormatUint(h.Incarnation, hexBase),
@@ -54,7 +55,7 @@
 
 // String returns the text form of the key.
 func (k Key) String() string {
-	return NewToken(k.Home, k.Minted) + keySeparator + k.Unique
+	return NewToken(k.Coordinator, k.Minted) + keySeparator + k.Unique
 }
 
 // ParseKey parses the text form of a key. It accepts only the form that String
@@ -69,9 +70,9 @@
 	incarnation, errIncarnation := strconv.ParseUint(incarnationText, hexBase, 64)
 	minted, errMinted := strconv.ParseInt(mintedText, hexBase, 64)
 	k := Key{
-		Home:   Home{Entry: entry, Incarnation: incarnation},
-		Minted: time.Unix(minted, 0).UTC(),
-		Unique: unique,
+		Coordinator: Coordinator{Entry: entry, Incarnation: incarnation},
+		Minted:      time.Unix(minted, 0).UTC(),
+		Unique:      unique,
 	}
 	valid := errIncarnation == nil && errMinted == nil && minted >= 0 &&
 		validName(entry, true) && validName(unique, false) &&
--- a/internal/core/claims/schedule_test.go
+++ b/internal/core/claims/schedule_test.go
@@ -28,10 +28,10 @@
 	noFault              fault = ""
 	retryAfterLoss       fault = "retry after a lost answer"
 	duplicatedDispatch   fault = "a dispatch that the network duplicates"
-	startAnywhere        fault = "an entry that starts keys of another home"
+	startAnywhere        fault = "an entry that starts keys of another coordinator"
 	sameIncarnation      fault = "a restart with the same incarnation"
 	unsealed             fault = "a hand-over marked complete without sealing the table"
-	notRunFromOtherEntry fault = "NotRun reported by an entry that isn't the home"
+	notRunFromOtherEntry fault = "NotRun reported by an entry that isn't the coordinator"
 	reuseNotRun          fault = "an attempt that starts again after NotRun"
 )
 
@@ -45,7 +45,7 @@
 
 // node simulates an entry.
 type node struct {
-	self   claims.Home
+	self   claims.Coordinator
 	table  *claims.Table
 	skew   time.Duration
 	paused bool
@@ -74,7 +74,7 @@
 func newSimulation(t *rapid.T, f fault) *simulation {
 	w := &simulation{t: t, fault: f, now: epoch}
 	for i := range 3 {
-		n := &node{self: claims.Home{Entry: fmt.Sprint("e", i)}, skew: time.Duration(i-1) * skew}
+		n := &node{self: claims.Coordinator{Entry: fmt.Sprint("e", i)}, skew: time.Duration(i-1) * skew}
 		w.nodes = append(w.nodes, n)
 		w.restart(n)
 	}
@@ -106,8 +106,8 @@
 
 // receive handles a request at an entry.
 func (w *simulation) receive(n *node, f *onceRequest) {
-	if f.key.Home != n.self {
-		home := w.nodes[slices.IndexFunc(w.nodes, func(o *node) bool { return o.self.Entry == f.key.Home.Entry })]
+	if f.key.Coordinator != n.self {
+		coordinator := w.nodes[slices.IndexFunc(w.nodes, func(o *node) bool { return o.self.Entry == f.key.Coordinator.Entry })]
 		switch {
 		case w.fault == notRunFromOtherEntry && w.maybe():
 			w.report(f, verdict.NotRun)
@@ -115,8 +115,8 @@
 		case w.fault == startAnywhere && w.maybe():
 			w.dispatch(n, n.self, f)
 			return
-		case home.self == f.key.Home && w.maybe():
-			w.send(home, true, func() { w.receive(home, f) })
+		case coordinator.self == f.key.Coordinator && w.maybe():
+			w.send(coordinator, true, func() { w.receive(coordinator, f) })
 			return
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 // dispatch sends an attempt to an endpoint, which runs it or sheds it.
-func (w *simulation) dispatch(n *node, from claims.Home, f *onceRequest) {
+func (w *simulation) dispatch(n *node, from claims.Coordinator, f *onceRequest) {
 	shed := w.maybe()
 	w.send(nil, w.fault == duplicatedDispatch, func() {
 		v := verdict.NotRun
--- a/internal/core/claims/table.go
+++ b/internal/core/claims/table.go
@@ -38,25 +38,24 @@
 	ClockSkew time.Duration
 }
 
-// Table holds the claims of one home, and claims imported from former homes. It
-// isn't safe for concurrent use.
+// Table holds the claims of one coordinator, and claims imported from former
+// coordinators. It isn't safe for concurrent use.
 type Table struct {
-	self   Home
+	self   Coordinator
 	cfg    Config
 	claims map[string]*claim
 	// expiryHeap orders the finished claims by expiry; those in flight are
 	// never evicted.
 	expiryHeap claimHeap
 	bytes      int64
-	// mayHaveRunUpTo is the latest minting time among the evicted claims of
-	// this home that may have run. notRunUpTo is the latest among its keys that
-	// were reported NotRun and have no claim. Keys minted up to these times
-	// never start, so that an evicted key can't start after the clock is set
-	// back.
+	// mayHaveRunUpTo is the latest minting time among the evicted claims of this
+	// coordinator that may have run. notRunUpTo is the latest among its keys that
+	// were reported NotRun and have no claim. Keys minted up to these times never
+	// start, so that an evicted key can't start after the clock is set back.
 	mayHaveRunUpTo time.Time
 	notRunUpTo     time.Time
-	// former holds the former homes whose claims were imported.
-	former map[Home]formerHome
+	// former holds the former coordinators whose claims were imported.
+	former map[Coordinator]formerCoordinator
 	sealed bool
 	// running is the number of attempts in flight.
 	running int
@@ -75,8 +74,8 @@
 	index   int
 }
 
-// NewTable returns an empty table for the home self.
-func NewTable(self Home, cfg Config) *Table {
+// NewTable returns an empty table for the coordinator self.
+func NewTable(self Coordinator, cfg Config) *Table {
 	if cfg.FirstUse <= 0 {
 		cfg.FirstUse = DefaultFirstUse
 	}
@@ -85,7 +84,7 @@
 		self:   self,
 		cfg:    cfg,
 		claims: make(map[string]*claim),
-		former: make(map[Home]formerHome),
+		former: make(map[Coordinator]formerCoordinator),
 	}
 }
 
@@ -111,7 +110,7 @@
 	if c, ok := t.claims[k.String()]; ok {
 		return c.decide(f)
 	}
-	if k.Home != t.self {
+	if k.Coordinator != t.self {
 		return t.beginFormer(now, k)
 	}
 	if t.mayHaveBeenEvicted(now, k) {
@@ -140,8 +139,8 @@
 }
 
 // mayHaveBeenEvicted reports whether a key without a claim may have had one
-// that was evicted, or can't have been minted by the home because its time is
-// too far in the future.
+// that was evicted, or can't have been minted by the coordinator because its
+// time is too far in the future.
 func (t *Table) mayHaveBeenEvicted(now time.Time, k Key) bool {
 	tooOld := now.Sub(k.Minted) >= t.cfg.Retention
 	tooNew := k.Minted.Sub(now) > t.cfg.ClockSkew
@@ -205,13 +204,13 @@
 
 // recordEviction keeps the keys minted up to the evicted one from starting.
 func (t *Table) recordEviction(c *claim) {
-	former, imported := t.former[c.key.Home]
+	former, imported := t.former[c.key.Coordinator]
 	switch {
-	case c.key.Home != t.self && !imported:
-		// Keys of an unknown home are refused as MayHaveRun in any case.
+	case c.key.Coordinator != t.self && !imported:
+		// Keys of an unknown coordinator are refused as MayHaveRun in any case.
 	case imported:
 		former.evictedUpTo = later(former.evictedUpTo, c.key.Minted)
-		t.former[c.key.Home] = former
+		t.former[c.key.Coordinator] = former
 	case c.outcome.Verdict == verdict.NotRun:
 		t.notRunUpTo = later(t.notRunUpTo, c.key.Minted)
 	default:
--- a/internal/core/claims/table_test.go
+++ b/internal/core/claims/table_test.go
@@ -18,8 +18,8 @@
 )
 
 var (
-	self   = claims.Home{Entry: "guro-a.1", Incarnation: 10}
-	former = claims.Home{Entry: "guro-a.2", Incarnation: 3}
+	self   = claims.Coordinator{Entry: "guro-a.1", Incarnation: 10}
+	former = claims.Coordinator{Entry: "guro-a.2", Incarnation: 3}
 	hire   = fingerprint.Of("filing-desk", "POST", "/hires", []byte("kim"))
 	other  = fingerprint.Of("filing-desk", "POST", "/hires", []byte("lee"))
 	ran    = claims.Outcome{Verdict: verdict.Ran, Status: 201, Body: []byte("filed")}
@@ -27,9 +27,9 @@
 	shed   = claims.Outcome{Verdict: verdict.NotRun, Reason: verdict.ReasonShed}
 )
 
-func key(t *testing.T, h claims.Home, unique string) claims.Key { return keyAt(t, h, 0, unique) }
+func key(t *testing.T, h claims.Coordinator, unique string) claims.Key { return keyAt(t, h, 0, unique) }
 
-func keyAt(t *testing.T, h claims.Home, after time.Duration, unique string) claims.Key {
+func keyAt(t *testing.T, h claims.Coordinator, after time.Duration, unique string) claims.Key {
 	k, err := claims.ParseKey(claims.NewToken(h, epoch.Add(after)) + "." + unique)
 	is.New(t).NoErr(err)
 	return k
@@ -40,7 +40,7 @@
 func TestParseKey(t *testing.T) {
 	is := is.New(t)
 	k := key(t, self, "A-z_9")
-	is.Equal(k.Home, self)
+	is.Equal(k.Coordinator, self)
 	is.True(k.Minted.Equal(epoch))
 	for _, text := range []string{
 		"", "...", "e.1.2", "e.1.2.", ".1.2.u", "e.x.2.u", "e.1.-2.u", "e.01.2.u", "e.1.2.u ", "e.1.2.u\n", "e.A.2.u",
@@ -122,13 +122,13 @@
 		{"sealed", table.Seal, k, hire, 0, claims.Refuse, not, verdict.ReasonStopping},
 		{"sealed after it ran", func(t table) { end(ran)(t); t.Seal() }, k, hire, 0, claims.Stored, did, ""},
 		{"another key", end(ran), otherKey, hire, 0, claims.Start, may, ""},
-		{"home unknown", func(table) {}, formerKey, hire, 0, claims.Refuse, may, verdict.ReasonHomeLost},
-		{"home stopped, row", imported(true), formerKey, hire, 0, claims.Stored, did, ""},
-		{"home stopped, no row", imported(true), key(t, former, "v"), hire, 0, claims.Refuse, not, verdict.ReasonHomeLost},
-		{"home stopped, no row, near the retention", imported(true), key(t, former, "v"), hire, limits.Retention - limits.ClockSkew, claims.Refuse, may, verdict.ReasonKeyExpired},
-		{"home copied, no row", imported(false), key(t, former, "v"), hire, 0, claims.Refuse, may, verdict.ReasonHomeLost},
-		{"home stopped, row evicted, clock set back", func(t table) { imported(true)(t); t.Expire(epoch.Add(limits.Retention)) }, formerKey, hire, 0, claims.Refuse, may, verdict.ReasonKeyExpired},
-		{"home stopped, no room", func(t table) { fill(t); imported(true)(t) }, formerKey, hire, 0, claims.Refuse, may, verdict.ReasonHomeLost},
+		{"coordinator unknown", func(table) {}, formerKey, hire, 0, claims.Refuse, may, verdict.ReasonCoordinatorLost},
+		{"coordinator stopped, row", imported(true), formerKey, hire, 0, claims.Stored, did, ""},
+		{"coordinator stopped, no row", imported(true), key(t, former, "v"), hire, 0, claims.Refuse, not, verdict.ReasonCoordinatorLost},
+		{"coordinator stopped, no row, near the retention", imported(true), key(t, former, "v"), hire, limits.Retention - limits.ClockSkew, claims.Refuse, may, verdict.ReasonKeyExpired},
+		{"coordinator copied, no row", imported(false), key(t, former, "v"), hire, 0, claims.Refuse, may, verdict.ReasonCoordinatorLost},
+		{"coordinator stopped, row evicted, clock set back", func(t table) { imported(true)(t); t.Expire(epoch.Add(limits.Retention)) }, formerKey, hire, 0, claims.Refuse, may, verdict.ReasonKeyExpired},
+		{"coordinator stopped, no room", func(t table) { fill(t); imported(true)(t) }, formerKey, hire, 0, claims.Refuse, may, verdict.ReasonCoordinatorLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -193,7 +193,7 @@
 	table := claims.NewTable(self, claims.Config{MaxEntries: 1 << 30, MaxBytes: 1 << 50, Retention: time.Hour})
 	keys := make([]claims.Key, b.N)
 	for i := range keys {
-		keys[i] = claims.Key{Home: self, Minted: epoch.Add(time.Duration(i/1000) * time.Second), Unique: fmt.Sprintf("%032x", i)}
+		keys[i] = claims.Key{Coordinator: self, Minted: epoch.Add(time.Duration(i/1000) * time.Second), Unique: fmt.Sprintf("%032x", i)}
 	}
 	b.ResetTimer()
 	for _, k := range keys {
--- a/internal/core/dispatch/bench_test.go
+++ b/internal/core/dispatch/bench_test.go
@@ -21,14 +21,14 @@
 	s := largeRegion(900, 20*time.Second)
 	for b.Loop() {
 		out := s.run(true)
-		b.ReportMetric(float64(out.inTarget)/float64(out.asked), "in-target")
-		b.ReportMetric(float64(out.refused)/float64(out.asked), "refused")
+		b.ReportMetric(float64(out.inTarget)/float64(out.requested), "in-target")
+		b.ReportMetric(float64(out.refused)/float64(out.requested), "refused")
 	}
 }
 
 // TestLargeRegionUnderOverload guards against a dispatcher that can't keep up
-// with a long queue. Scanning all endpoints for each queued ask took most of
-// a core, and under the race detector several times as long as the load
+// with a long queue. Scanning all endpoints for each queued slot request took
+// most of a core, and under the race detector several times as long as the load
 // lasted. Overload must also leave the endpoints at their full throughput.
 func TestLargeRegionUnderOverload(t *testing.T) {
 	is := is.New(t)
--- a/internal/core/dispatch/choose.go
+++ b/internal/core/dispatch/choose.go
@@ -11,7 +11,7 @@
 
 // applyHint records the endpoint that the gateway named for the object, if no
 // other is recorded.
-func (svc *service) applyHint(a Ask) {
+func (svc *service) applyHint(a SlotRequest) {
 	object := a.object()
 	if a.Hint == "" || object == "" || len(svc.servedBy[object]) > 0 {
 		return
@@ -52,19 +52,19 @@
 	return known && depth < svc.kept.limit
 }
 
-// eligible reports whether an ask may be granted a slot of an endpoint.
-func eligible(now time.Time, s *server, a Ask) bool {
+// eligible reports whether a slot request may be granted a slot of an endpoint.
+func eligible(now time.Time, s *server, a SlotRequest) bool {
 	return s.usable(now) && !slices.Contains(a.Exclude, s.endpoint.ID) &&
-		(len(a.Homes) == 0 || slices.Contains(a.Homes, s.region))
+		(len(a.Regions) == 0 || slices.Contains(a.Regions, s.region))
 }
 
-// choose returns the endpoint of the least cost for an ask, or nil if there is
-// none. An unused endpoint is preferred without comparison, and so is one that
-// keeps the object warm if it is healthy and has a free slot, or if maxCopies
-// endpoints keep the object. The endpoint may have no free slot: then the ask
-// is to wait for one, because a run elsewhere is expected to end later or
-// would exceed maxCopies.
-func (p *Pool) choose(now time.Time, svc *service, a Ask) *server {
+// choose returns the endpoint of the least cost for a slot request, or nil if
+// there is none. An unused endpoint is preferred without comparison, and so is
+// one that keeps the object warm if it is healthy and has a free slot, or if
+// maxCopies endpoints keep the object. The endpoint may have no free slot: then
+// the slot request is to wait for one, because a run elsewhere is expected to
+// end later or would exceed maxCopies.
+func (p *Pool) choose(now time.Time, svc *service, a SlotRequest) *server {
 	if s := svc.unusedEndpoint(now, a); s != nil {
 		return s
 	}
@@ -92,8 +92,8 @@
 
 // unusedEndpoint returns an endpoint of the own region that has joined and got
 // no request yet; nil if there is none. It is preferred for the least urgent
-// asks, so that added capacity is used.
-func (svc *service) unusedEndpoint(now time.Time, a Ask) *server {
+// slot requests, so that added capacity is used.
+func (svc *service) unusedEndpoint(now time.Time, a SlotRequest) *server {
 	if svc.firstServed.IsZero() || now.Sub(svc.firstServed) < preferUnusedAfter || a.Priority < svc.leastUrgent {
 		return nil
 	}
@@ -108,7 +108,7 @@
 // choosePlacement returns an endpoint for an object that isn't warm there,
 // and the least cost. It tries the regions that the limit on shifts allows,
 // then the own region.
-func (p *Pool) choosePlacement(now time.Time, svc *service, a Ask) (*server, float64) {
+func (p *Pool) choosePlacement(now time.Time, svc *service, a SlotRequest) (*server, float64) {
 	s, cost := svc.cheapest(now, a, func(s *server) bool { return p.mayMove(now, s) })
 	if s == nil {
 		return svc.cheapest(now, a, func(s *server) bool { return s.own })
@@ -123,7 +123,7 @@
 }
 
 // rank orders the endpoints by the cost of a new object and sums up their
-// slots, so that an ask need not compare all endpoints of a large pool.
+// slots, so that a slot request need not compare all endpoints of a large pool.
 func (svc *service) rank(now time.Time) {
 	k := &kind{cold: svc.slotTime}
 	svc.slots, svc.free = 0, 0
@@ -150,7 +150,7 @@
 // hashing decides among endpoints of about the same cost, so that a new
 // dispatcher without any record finds the object where the previous one
 // placed it.
-func (svc *service) cheapest(now time.Time, a Ask, allowed func(*server) bool) (*server, float64) {
+func (svc *service) cheapest(now time.Time, a SlotRequest, allowed func(*server) bool) (*server, float64) {
 	k, object := svc.kind(a), a.object()
 	least := math.Inf(1)
 	var compared [maxCompared]*server
@@ -185,11 +185,11 @@
 	return float64(svc.free) > spareSlotShare*float64(svc.slots)
 }
 
-// grantNowOrRefuse decides an ask that can't wait any longer. It grants a
-// free slot even where the cost is high, first at an endpoint that served the
-// object before. A cold run elsewhere needs spare slots, unless the ask has
-// no object.
-func (p *Pool) grantNowOrRefuse(now time.Time, svc *service, a Ask) Decision {
+// grantNowOrRefuse decides a slot request that can't wait any longer. It grants
+// a free slot even where the cost is high, first at an endpoint that served the
+// object before. A cold run elsewhere needs spare slots, unless the slot
+// request has no object.
+func (p *Pool) grantNowOrRefuse(now time.Time, svc *service, a SlotRequest) Decision {
 	object, k := a.object(), svc.kind(a)
 	var best *server
 	least := math.Inf(1)
--- a/internal/core/dispatch/kept_test.go
+++ b/internal/core/dispatch/kept_test.go
@@ -23,7 +23,7 @@
 		is := is.New(t)
 		out := s.run(true)
 		t.Logf("capacity %d: %+v", capacity, out)
-		is.True(10*out.inTarget > 9*out.asked)
+		is.True(10*out.inTarget > 9*out.requested)
 	}
 }
 
@@ -38,7 +38,7 @@
 	placed := make(map[string]int)
 	for i := range objects {
 		now = now.Add(25 * time.Millisecond)
-		d, decided := pool.Acquire(now, dispatch.Ask{
+		d, decided := pool.Acquire(now, dispatch.SlotRequest{
 			ID: fmt.Sprint(i), Service: "s", Kind: "k", Affinity: fmt.Sprint(i),
 			Target: 300 * time.Millisecond, Deadline: now.Add(2 * time.Second),
 		})
--- a/internal/core/dispatch/lend.go
+++ b/internal/core/dispatch/lend.go
@@ -105,7 +105,7 @@
 	var out []Load
 	for name, svc := range p.services {
 		l := Load{
-			Region: p.setup.Region, Service: name, Need: svc.load.slots(now) / targetUtilization, Gateways: gateways,
+			Region: p.config.Region, Service: name, Need: svc.load.slots(now) / targetUtilization, Gateways: gateways,
 		}
 		for _, s := range svc.servers {
 			if s.own && !s.endpoint.Leaving && !s.cold(now) && s.connectFailures < maxConnectFailures {
@@ -126,7 +126,7 @@
 func (p *Pool) Lend(now time.Time, loads []Load) []Loan {
 	lent := make(map[string][]string)
 	for name, svc := range p.services {
-		p.lend(now, svc, planLoans(loads, name, p.setup.Region))
+		p.lend(now, svc, planLoans(loads, name, p.config.Region))
 		for _, s := range svc.servers {
 			if s.own && s.lentTo != "" {
 				lent[s.lentTo] = append(lent[s.lentTo], s.endpoint.ID)
@@ -136,7 +136,7 @@
 	var out []Loan
 	for borrower, ids := range lent {
 		slices.Sort(ids)
-		out = append(out, Loan{Lender: p.setup.Region, Borrower: borrower, Endpoints: ids})
+		out = append(out, Loan{Lender: p.config.Region, Borrower: borrower, Endpoints: ids})
 	}
 	slices.SortFunc(out, func(a, b Loan) int { return cmp.Compare(a.Borrower, b.Borrower) })
 	return out
@@ -289,7 +289,7 @@
 	for _, id := range l.Endpoints {
 		if s := p.servers[id]; s != nil && !s.own {
 			s.lender, s.borrowedUntil = l.Lender, now.Add(LoanTerm)
-			s.roundTrip = p.setup.Way(s.region)
+			s.roundTrip = p.config.RoundTrip(s.region)
 		}
 	}
 }
--- a/internal/core/dispatch/lend_test.go
+++ b/internal/core/dispatch/lend_test.go
@@ -15,16 +15,16 @@
 // regionPool returns the pool of one region in a system where each region has
 // the given number of endpoints with four slots.
 func regionPool(now time.Time, own string, endpoints map[string]int) *dispatch.Pool {
-	pool := dispatch.NewPool(own+"/", dispatch.Setup{
-		ColdRate: func(string) float64 { return 5 }, Draw: func() float64 { return 0 }, Region: own,
-		RegionOf: func(zone string) string { return zone },
-		Way:      func(string) time.Duration { return 20 * time.Millisecond },
-		MaxShift: 0.15,
+	pool := dispatch.NewPool(own+"/", dispatch.Config{
+		ColdRate: func(string) float64 { return 5 }, Random: func() float64 { return 0 }, Region: own,
+		RegionOf:  func(zone string) string { return zone },
+		RoundTrip: func(string) time.Duration { return 20 * time.Millisecond },
+		MaxShift:  0.15,
 	})
 	for region, n := range endpoints {
 		for i := range n {
 			pool.Learn(now, registry.Endpoint{
-				ID: fmt.Sprintf("%s%d", region, i), Zone: region, Service: "s", Slots: 4, Born: 1, Heard: now,
+				ID: fmt.Sprintf("%s%d", region, i), Zone: region, Service: "s", Slots: 4, StartedMillis: 1, LastSeen: now,
 			})
 		}
 	}
@@ -60,7 +60,7 @@
 	for region := range endpoints {
 		s.grantCounts[region] = make(map[int64]map[string]float64)
 		s.pools[region] = regionPool(s.now, region, endpoints)
-		s.pools[region].SetFirm(s.now, true)
+		s.pools[region].SetExclusive(s.now, true)
 	}
 	return s
 }
@@ -102,7 +102,7 @@
 // run sends each region's given number of requests per second, which take
 // 200 ms each, and returns the refused share by region.
 func (s *lendingSystem) run(seconds float64, perSecond map[string]float64) map[string]float64 {
-	asked, refused := make(map[string]float64), make(map[string]float64)
+	requested, refused := make(map[string]float64), make(map[string]float64)
 	record := func(region string, d dispatch.Decision) {
 		if d.Grant == "" {
 			refused[region]++
@@ -128,9 +128,9 @@
 				record(region, d)
 			}
 			for s.arrivals[region] += perSecond[region] / 100; s.arrivals[region] >= 1; s.arrivals[region]-- {
-				asked[region]++
-				id := fmt.Sprint(region, asked[region])
-				d, decided := p.Acquire(s.now, dispatch.Ask{
+				requested[region]++
+				id := fmt.Sprint(region, requested[region])
+				d, decided := p.Acquire(s.now, dispatch.SlotRequest{
 					ID: id, Service: "s", Target: 300 * time.Millisecond, Deadline: s.now.Add(2 * time.Second),
 				})
 				if decided {
@@ -139,8 +139,8 @@
 			}
 		}
 	}
-	for region := range asked {
-		refused[region] /= asked[region]
+	for region := range requested {
+		refused[region] /= requested[region]
 	}
 	return refused
 }
@@ -258,8 +258,8 @@
 	is.True(s.lent("few") >= 4)
 }
 
-// TestEndpointGoneWithQueuedAsk guards against a grant at an endpoint that
-// has gone: the endpoint goes while an ask is queued for it, and one of its
+// TestEndpointGoneWithQueuedAsk guards against a grant at an endpoint that has
+// gone: the endpoint goes while a slot request is queued for it, and one of its
 // slots is released afterwards.
 func TestEndpointGoneWithQueuedAsk(t *testing.T) {
 	is := is.New(t)
@@ -267,13 +267,13 @@
 	pool := regionPool(now, "big", map[string]int{"big": 1})
 	var grants []string
 	for i := range 5 {
-		d, decided := pool.Acquire(now, dispatch.Ask{
+		d, decided := pool.Acquire(now, dispatch.SlotRequest{
 			ID: fmt.Sprint(i), Service: "s", Target: time.Second, Deadline: now.Add(2 * time.Second),
 		})
 		is.Equal(decided, i < 4)
 		grants = append(grants, d.Grant)
 	}
-	e := registry.Endpoint{ID: "big0", Zone: "big", Service: "s", Slots: 4, Born: 1, Leaving: true, Gone: true, Heard: now}
+	e := registry.Endpoint{ID: "big0", Zone: "big", Service: "s", Slots: 4, StartedMillis: 1, Leaving: true, Gone: true, LastSeen: now}
 	pool.Learn(now, e)
 	is.Equal(len(pool.Release(now, grants[0], dispatch.Served, time.Second)), 0)
 }
@@ -285,22 +285,22 @@
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	pool := regionPool(now, "few", map[string]int{"few": 0, "big": 1})
-	ask := func(id string) bool {
-		d, decided := pool.Acquire(now, dispatch.Ask{
+	request := func(id string) bool {
+		d, decided := pool.Acquire(now, dispatch.SlotRequest{
 			ID: id, Service: "s", Target: time.Second, Deadline: now.Add(time.Second),
 		})
 		return decided && d.Grant != ""
 	}
-	is.True(!ask("before"))
+	is.True(!request("before"))
 	pool.Borrow(now, dispatch.Loan{Lender: "big", Borrower: "few", Endpoints: []string{"big0"}})
-	is.True(ask("within"))
+	is.True(request("within"))
 	now = now.Add(dispatch.LoanTerm)
-	is.True(!ask("after"))
+	is.True(!request("after"))
 	pool.Borrow(now, dispatch.Loan{Lender: "big", Borrower: "few", Endpoints: []string{"big0"}})
 	pool.Learn(now, registry.Endpoint{
-		ID: "big0", Zone: "big", Service: "s", Slots: 4, Born: 1, Sequence: 2, Heard: now, ColdUntil: now.Add(time.Second),
+		ID: "big0", Zone: "big", Service: "s", Slots: 4, StartedMillis: 1, Sequence: 2, LastSeen: now, ColdUntil: now.Add(time.Second),
 	})
-	is.True(!ask("cold"))
+	is.True(!request("cold"))
 }
 
 // TestLoansSurviveDispatcherFailover guards against loans that change when
--- a/internal/core/dispatch/policies_test.go
+++ b/internal/core/dispatch/policies_test.go
@@ -18,14 +18,14 @@
 	choose    func(b *baseline) int
 	slots     int
 	busy      []int
-	queues    [][]dispatch.Ask
+	queues    [][]dispatch.SlotRequest
 	endpoints map[string]int // by grant
 	count     int
 }
 
 func newBaseline(s workload, choose func(b *baseline) int) *baseline {
 	return &baseline{
-		choose: choose, slots: s.slots, busy: make([]int, s.endpoints), queues: make([][]dispatch.Ask, s.endpoints),
+		choose: choose, slots: s.slots, busy: make([]int, s.endpoints), queues: make([][]dispatch.SlotRequest, s.endpoints),
 		endpoints: make(map[string]int),
 	}
 }
@@ -51,15 +51,15 @@
 // slots.
 const queueFactor = 3
 
-func (b *baseline) grant(i int, a dispatch.Ask) dispatch.Decision {
+func (b *baseline) grant(i int, a dispatch.SlotRequest) dispatch.Decision {
 	b.count++
 	b.busy[i]++
 	grant := fmt.Sprint(b.count)
 	b.endpoints[grant] = i
-	return dispatch.Decision{Ask: a, Grant: grant, Endpoint: registry.Endpoint{ID: fmt.Sprintf("e%d", i)}}
+	return dispatch.Decision{Request: a, Grant: grant, Endpoint: registry.Endpoint{ID: fmt.Sprintf("e%d", i)}}
 }
 
-func (b *baseline) Acquire(_ time.Time, a dispatch.Ask) (dispatch.Decision, bool) {
+func (b *baseline) Acquire(_ time.Time, a dispatch.SlotRequest) (dispatch.Decision, bool) {
 	i := b.choose(b)
 	switch {
 	case b.busy[i] < b.slots:
@@ -68,7 +68,7 @@
 		b.queues[i] = append(b.queues[i], a)
 		return dispatch.Decision{}, false
 	default:
-		return dispatch.Decision{Ask: a}, true
+		return dispatch.Decision{Request: a}, true
 	}
 }
 
@@ -111,7 +111,7 @@
 			is := is.New(t)
 			s := load(usual)
 			now := time.Unix(1_800_000_000, 0)
-			share := func(p results) float64 { return float64(p.inTarget) / float64(p.asked) }
+			share := func(p results) float64 { return float64(p.inTarget) / float64(p.requested) }
 			random := share(s.runOn(now, newBaseline(s, atRandom()), true))
 			least := share(s.runOn(now, newBaseline(s, leastInFlight), true))
 			pool := share(s.run(true))
--- a/internal/core/dispatch/pool.go
+++ b/internal/core/dispatch/pool.go
@@ -11,7 +11,7 @@
 // Pool grants the slots of a region's endpoints and of the endpoints that
 // other regions lend it. It is not safe for concurrent use.
 type Pool struct {
-	setup      Setup
+	config     Config
 	services   map[string]*service
 	servers    map[string]*server
 	grants     map[string]grant
@@ -40,12 +40,12 @@
 	// as of the last tick.
 	meanKept float64
 	// nextReconsidered is the queue position, modulo the queue's length,
-	// where the next tick continues to reconsider asks.
+	// where the next tick continues to reconsider slot requests.
 	nextReconsidered int
 	// servedBy lists, by object, the endpoints whose memory holds it.
 	servedBy map[string][]*server
-	queue    []queuedAsk
-	// queuedForAny counts the queued asks without a preferred endpoint.
+	queue    []queuedRequest
+	// queuedForAny counts the queued slot requests without a preferred endpoint.
 	queuedForAny int
 	kinds        map[string]*kind
 	retries      retries
@@ -56,7 +56,7 @@
 	slotTime float64
 	// firstServed is the time of the first served request; zero before.
 	firstServed time.Time
-	// leastUrgent is the highest Priority, that of the least urgent ask,
+	// leastUrgent is the highest Priority, that of the least urgent slot request,
 	// received so far.
 	leastUrgent int
 	// lastRecall is the time of the last recall of lent endpoints.
@@ -75,9 +75,9 @@
 }
 
 // NewPool returns an empty pool. The IDs of its grants begin with prefix.
-func NewPool(prefix string, setup Setup) *Pool {
+func NewPool(prefix string, config Config) *Pool {
 	return &Pool{
-		setup: setup, prefix: prefix, shift: NewShiftMeter(setup.MaxShift),
+		config: config, prefix: prefix, shift: NewShiftMeter(config.MaxShift),
 		services: make(map[string]*service), servers: make(map[string]*server), grants: make(map[string]grant),
 	}
 }
@@ -86,7 +86,7 @@
 // an endpoint that is gone stay until they are released or expire.
 func (p *Pool) Learn(now time.Time, e registry.Endpoint) {
 	old := p.servers[e.ID]
-	if old != nil && old.endpoint.Service == e.Service && old.endpoint.Born == e.Born && !e.Gone {
+	if old != nil && old.endpoint.Service == e.Service && old.endpoint.StartedMillis == e.StartedMillis && !e.Gone {
 		if e.Leaving && !old.endpoint.Leaving {
 			p.noteLoss(now, old)
 		}
@@ -98,9 +98,9 @@
 		return
 	}
 	s := newServer(e)
-	s.region = p.setup.RegionOf(e.Zone)
-	if s.own = s.region == p.setup.Region; !s.own {
-		s.roundTrip = p.setup.Way(s.region)
+	s.region = p.config.RegionOf(e.Zone)
+	if s.own = s.region == p.config.Region; !s.own {
+		s.roundTrip = p.config.RoundTrip(s.region)
 	}
 	p.servers[e.ID] = s
 	svc := p.service(e.Service)
@@ -115,7 +115,7 @@
 		return
 	}
 	p.noteLoss(now, s)
-	s.endpoint.Gone = true // queued asks may still refer to it
+	s.endpoint.Gone = true // queued slot requests may still refer to it
 	delete(p.servers, id)
 	svc := p.service(s.endpoint.Service)
 	isServer := func(o *server) bool { return o == s }
@@ -129,13 +129,13 @@
 // the endpoint's slots until now.
 func (p *Pool) noteLoss(now time.Time, s *server) {
 	if s.grantable(now) && !s.endpoint.Leaving {
-		p.Unsettle(now)
+		p.SuspendShiftLimit(now)
 	}
 }
 
-// Unsettle lets objects move between regions without limit for a while,
+// SuspendShiftLimit lets objects move between regions without limit for a while,
 // because endpoints, controllers or connections were lost.
-func (p *Pool) Unsettle(now time.Time) { p.shiftSuspendedUntil = now.Add(shiftSuspension) }
+func (p *Pool) SuspendShiftLimit(now time.Time) { p.shiftSuspendedUntil = now.Add(shiftSuspension) }
 
 func (p *Pool) service(name string) *service {
 	svc := p.services[name]
@@ -148,11 +148,11 @@
 	return svc
 }
 
-// SetFirm sets whether it is certain that no other pool can grant the same
+// SetExclusive sets whether it is certain that no other pool can grant the same
 // endpoints. Cold endpoints get no requests while it is not, and for
 // coldHoldBack afterwards, because grants of a former pool may still be in
 // transit and the rate of a cold endpoint counts over all pools.
-func (p *Pool) SetFirm(now time.Time, exclusive bool) {
+func (p *Pool) SetExclusive(now time.Time, exclusive bool) {
 	switch {
 	case !exclusive:
 		p.exclusiveSince = time.Time{}
@@ -170,19 +170,19 @@
 	}
 }
 
-// Acquire decides an ask at once, or queues it and returns false. Release or
-// Tick returns the decision of a queued ask.
-func (p *Pool) Acquire(now time.Time, a Ask) (Decision, bool) {
+// Acquire decides a slot request at once, or queues it and returns false.
+// Release or Tick returns the decision of a queued slot request.
+func (p *Pool) Acquire(now time.Time, a SlotRequest) (Decision, bool) {
 	svc := p.service(a.Service)
-	if !a.Again {
+	if !a.Retry {
 		svc.load.add(now, svc.kind(a).expected(a.object() != ""))
-		svc.retries.countRequest(now, p.setup.Retries)
+		svc.retries.countRequest(now, p.config.Retries)
 		svc.leastUrgent = max(svc.leastUrgent, a.Priority)
 	}
 	if !slices.ContainsFunc(svc.servers, func(s *server) bool { return s.usable(now) }) {
 		return p.refuse(now, a, ReasonNoEndpoint), true
 	}
-	if a.Again && !svc.retries.take(now, p.setup.Retries) {
+	if a.Retry && !svc.retries.take(now, p.config.Retries) {
 		return p.refuse(now, a, ReasonRetryBudget), true
 	}
 	svc.applyHint(a)
@@ -194,13 +194,13 @@
 	if !until.Before(a.Deadline) || !until.After(now) || svc.queueTooLong(a) {
 		return p.grantNowOrRefuse(now, svc, a), true
 	}
-	svc.enqueue(queuedAsk{ask: a, until: until, preferred: best})
+	svc.enqueue(queuedRequest{request: a, until: until, preferred: best})
 	return Decision{}, false
 }
 
-// kind returns the statistics of the ask's kind. A new kind's cold run time
-// is assumed to be the ask's target.
-func (svc *service) kind(a Ask) *kind {
+// kind returns the statistics of the slot request's kind. A new kind's cold run
+// time is assumed to be the slot request's target.
+func (svc *service) kind(a SlotRequest) *kind {
 	k := svc.kinds[a.Kind]
 	if k == nil {
 		k = &kind{cold: a.Target.Seconds()}
@@ -209,16 +209,16 @@
 	return k
 }
 
-// object returns the key of the ask's object within its service; empty if
-// none.
-func (a Ask) object() string {
+// object returns the key of the slot request's object within its service; empty
+// if none.
+func (a SlotRequest) object() string {
 	if a.Affinity == "" {
 		return ""
 	}
 	return a.Kind + "/" + a.Affinity
 }
 
-func (p *Pool) grant(now time.Time, svc *service, s *server, a Ask) Decision {
+func (p *Pool) grant(now time.Time, svc *service, s *server, a SlotRequest) Decision {
 	p.grantCount++
 	id := p.prefix + strconv.FormatUint(p.grantCount, 36)
 	object := a.object()
@@ -230,11 +230,11 @@
 	s.granted++
 	svc.touch(object, s)
 	if s.cold(now) {
-		s.nextColdGrant = now.Add(coldGap(p.setup.ColdRate(a.Service)))
+		s.nextColdGrant = now.Add(coldGap(p.config.ColdRate(a.Service)))
 	}
 	p.shift.Count(now, s.region, now.Before(p.shiftSuspendedUntil))
 	p.grants[id] = g
-	return Decision{Ask: a, Grant: id, Endpoint: s.endpoint, Region: s.region}
+	return Decision{Request: a, Grant: id, Endpoint: s.endpoint, Region: s.region}
 }
 
 // coldGap returns the time between two requests at a cold endpoint; one
@@ -246,16 +246,16 @@
 	return time.Duration(float64(time.Second) / perSecond)
 }
 
-func (p *Pool) refuse(now time.Time, a Ask, reason Reason) Decision {
+func (p *Pool) refuse(now time.Time, a SlotRequest, reason Reason) Decision {
 	left := a.Deadline.Sub(now)
 	limit := left / retryAfterDivisor
-	after := time.Duration((0.7 + 0.3*p.setup.Draw()) * float64(limit))
-	return Decision{Ask: a, Reason: reason, RetryAfter: max(after, minRetryAfter)}
+	after := time.Duration((0.7 + 0.3*p.config.Random()) * float64(limit))
+	return Decision{Request: a, Reason: reason, RetryAfter: max(after, minRetryAfter)}
 }
 
 // Release ends a grant, records its outcome and the time that it took, and
-// returns the decisions of the queued asks that get a slot by it. An unknown
-// ID changes nothing.
+// returns the decisions of the queued slot requests that get a slot by it. An
+// unknown ID changes nothing.
 func (p *Pool) Release(now time.Time, id string, outcome Outcome, took time.Duration) []Decision {
 	g, ok := p.grants[id]
 	if !ok {
@@ -272,7 +272,7 @@
 	}
 	if outcome == Broken || outcome == Unreachable {
 		if now.Sub(p.lastBreak) < maxBreakInterval {
-			p.Unsettle(now)
+			p.SuspendShiftLimit(now)
 		}
 		p.lastBreak = now
 	}
@@ -294,8 +294,8 @@
 	svc.slotTime += smoothing / 2 * (slotTime - svc.slotTime)
 }
 
-// Tick removes expired grants, reconsiders queued asks, and returns the
-// decisions of those that get a slot or whose wait has ended.
+// Tick removes expired grants, reconsiders queued slot requests, and returns
+// the decisions of those that get a slot or whose wait has ended.
 func (p *Pool) Tick(now time.Time) []Decision {
 	for id, g := range p.grants {
 		if now.After(g.expires) {
--- a/internal/core/dispatch/refusal_test.go
+++ b/internal/core/dispatch/refusal_test.go
@@ -30,7 +30,7 @@
 	for i := range 3000 {
 		now = now.Add(10 * time.Millisecond)
 		object := fmt.Sprint(i % 12)
-		d, decided := pool.Acquire(now, dispatch.Ask{
+		d, decided := pool.Acquire(now, dispatch.SlotRequest{
 			ID: fmt.Sprint(i), Service: "s", Kind: "k", Affinity: object,
 			Target: 300 * time.Millisecond, Deadline: now.Add(2 * time.Second),
 		})
@@ -58,11 +58,11 @@
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	pool := regionPool(now, "own", map[string]int{"own": 0})
-	pool.Learn(now, registry.Endpoint{ID: "e", Zone: "own", Service: "s", Slots: 1, Born: 1, Heard: now})
-	ask := dispatch.Ask{ID: "a", Service: "s", Target: 300 * time.Millisecond, Deadline: now.Add(2 * time.Second)}
-	d, _ := pool.Acquire(now, ask)
+	pool.Learn(now, registry.Endpoint{ID: "e", Zone: "own", Service: "s", Slots: 1, StartedMillis: 1, LastSeen: now})
+	request := dispatch.SlotRequest{ID: "a", Service: "s", Target: 300 * time.Millisecond, Deadline: now.Add(2 * time.Second)}
+	d, _ := pool.Acquire(now, request)
 	pool.Release(now, d.Grant, dispatch.Refused, time.Millisecond)
-	ask.ID = "b"
-	d, _ = pool.Acquire(now, ask)
+	request.ID = "b"
+	d, _ = pool.Acquire(now, request)
 	is.Equal(d.Grant, "")
 }
--- a/internal/core/dispatch/retry_test.go
+++ b/internal/core/dispatch/retry_test.go
@@ -17,28 +17,28 @@
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	budget := dispatch.RetryBudget{Ratio: 0.2, Extra: 30, Window: 10 * time.Second}
-	pool := dispatch.NewPool("t/", dispatch.Setup{
-		ColdRate: func(string) float64 { return 0 }, RegionOf: func(string) string { return "" }, Draw: func() float64 { return 0 }, Retries: budget,
+	pool := dispatch.NewPool("t/", dispatch.Config{
+		ColdRate: func(string) float64 { return 0 }, RegionOf: func(string) string { return "" }, Random: func() float64 { return 0 }, Retries: budget,
 	})
 	now := time.Unix(1_800_000_000, 0)
 	for i := range 10 {
-		pool.Learn(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: 9, Born: 1, Heard: now})
+		pool.Learn(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: 9, StartedMillis: 1, LastSeen: now})
 	}
 	var retries []time.Time
 	requests := 0
 	for i := range 4000 { // 100 requests a second
 		now = now.Add(10 * time.Millisecond)
 		requests++
-		ask := dispatch.Ask{ID: fmt.Sprint(i), Service: "s", Target: 100 * time.Millisecond, Deadline: now.Add(time.Second)}
-		first, decided := pool.Acquire(now, ask)
+		request := dispatch.SlotRequest{ID: fmt.Sprint(i), Service: "s", Target: 100 * time.Millisecond, Deadline: now.Add(time.Second)}
+		first, decided := pool.Acquire(now, request)
 		is.True(decided)
 		if first.Grant == "" {
 			continue
 		}
 		pool.Release(now, first.Grant, dispatch.Refused, 0)
-		ask.ID += "/2"
-		ask.Again, ask.Exclude = true, []string{first.Endpoint.ID}
-		second, decided := pool.Acquire(now, ask)
+		request.ID += "/2"
+		request.Retry, request.Exclude = true, []string{first.Endpoint.ID}
+		second, decided := pool.Acquire(now, request)
 		is.True(decided)
 		if second.Grant == "" {
 			continue
--- a/internal/core/dispatch/server.go
+++ b/internal/core/dispatch/server.go
@@ -20,7 +20,7 @@
 	rankCost float64
 	// granted counts all slots granted at the endpoint.
 	granted int
-	// queuedFor counts the queued asks that prefer this endpoint.
+	// queuedFor counts the queued slot requests that prefer this endpoint.
 	queuedFor int
 	// slowness is the moving average of the ratio of actual to expected run
 	// times.
--- a/internal/core/dispatch/types.go
+++ b/internal/core/dispatch/types.go
@@ -6,11 +6,11 @@
 	"sassafrasreach/internal/core/registry"
 )
 
-// Ask is a gateway's request for a slot.
-type Ask struct {
-	// ID is unique among the asks of all gateways.
+// SlotRequest is a gateway's request for a slot.
+type SlotRequest struct {
+	// ID is unique among the slot requests of all gateways.
 	ID string
-	// Gateway names the incarnation of the gateway that sent the ask.
+	// Gateway names the incarnation of the gateway that sent the slot request.
 	Gateway string
 	Service string
 	// Priority is the rank of the request; 0 is the most urgent.
@@ -30,12 +30,12 @@
 	Target time.Duration
 	// Deadline is the time after which the answer is useless.
 	Deadline time.Time
-	// Again marks a further attempt of a request; Exclude lists the endpoints
+	// Retry marks a further attempt of a request; Exclude lists the endpoints
 	// that must not get it.
-	Again   bool
+	Retry   bool
 	Exclude []string
-	// Homes are the regions in which the request may run; empty means all.
-	Homes []string
+	// Regions are the regions in which the request may run; empty means all.
+	Regions []string
 }
 
 // Reason is the cause of a refusal.
@@ -51,9 +51,9 @@
 	ReasonRetryBudget Reason = "retry-budget"
 )
 
-// Decision is the result of an ask: a grant or a refusal.
+// Decision is the result of a slot request: a grant or a refusal.
 type Decision struct {
-	Ask Ask
+	Request SlotRequest
 	// Grant identifies the granted slot; it is empty in a refusal. Endpoint
 	// is the slot's endpoint and Region the endpoint's region.
 	Grant    string
@@ -86,21 +86,21 @@
 	Unsent Outcome = "unsent"
 )
 
-// Setup holds the parameters of a pool.
-type Setup struct {
+// Config holds the parameters of a pool.
+type Config struct {
 	// ColdRate returns the requests per second that a cold endpoint of a
 	// service may get.
 	ColdRate func(service string) float64
 	// Retries limits retries; the zero value allows none.
 	Retries RetryBudget
-	// Draw returns a random number in [0, 1). It spreads the return of
+	// Random returns a random number in [0, 1). It spreads the return of
 	// refused clients.
-	Draw func() float64
+	Random func() float64
 	// Region is the pool's own region. RegionOf returns the region of a
-	// failure domain, and Way the round-trip time to another region.
-	Region   string
-	RegionOf func(zone string) string
-	Way      func(region string) time.Duration
+	// failure domain, and RoundTrip the round-trip time to another region.
+	Region    string
+	RegionOf  func(zone string) string
+	RoundTrip func(region string) time.Duration
 	// MaxShift limits the share of the requests that may change the region in
 	// which they run from one window to the next; 0 sets no limit.
 	MaxShift float64
@@ -158,8 +158,8 @@
 	// endpoints are candidates for a new object. The object's hash decides
 	// among them.
 	placementSlack = 1.15
-	// maxCompared bounds the endpoints that are compared for one ask, and
-	// maxReconsidered the queued asks of a service that are due for
+	// maxCompared bounds the endpoints that are compared for one slot request, and
+	// maxReconsidered the queued slot requests of a service that are due for
 	// reconsideration in one tick. Without these bounds the dispatcher of a
 	// large region uses a whole core under overload.
 	maxCompared     = 48
--- a/internal/core/dispatch/use.go
+++ b/internal/core/dispatch/use.go
@@ -5,7 +5,7 @@
 // Use describes the use of one service's slots.
 type Use struct {
 	// Slots counts the slots of the endpoints that this pool uses now, Busy
-	// the slots in use, and Waiting the queued asks.
+	// the slots in use, and Waiting the queued slot requests.
 	Slots, Busy, Waiting int
 	// Lent and Borrowed count endpoints.
 	Lent, Borrowed int
--- a/internal/core/dispatch/warm.go
+++ b/internal/core/dispatch/warm.go
@@ -106,7 +106,7 @@
 	// cold and warm are moving averages of the run times in seconds, without
 	// and with the object warm, at an endpoint of average speed. They don't
 	// include the round trip to another region. cold starts as the target of
-	// the kind's first ask; warm is zero before the first warm run.
+	// the kind's first slot request; warm is zero before the first warm run.
 	cold, warm float64
 }
 
--- a/internal/core/dispatch/warm_test.go
+++ b/internal/core/dispatch/warm_test.go
@@ -65,24 +65,25 @@
 }
 
 // results counts the requests of a workload by their result.
-type results struct{ asked, inTarget, late, refused int }
+type results struct{ requested, inTarget, late, refused int }
 
 // policy grants or refuses slots; a Pool is one.
 type policy interface {
-	Acquire(now time.Time, a dispatch.Ask) (dispatch.Decision, bool)
+	Acquire(now time.Time, a dispatch.SlotRequest) (dispatch.Decision, bool)
 	Release(now time.Time, id string, outcome dispatch.Outcome, took time.Duration) []dispatch.Decision
 	Tick(now time.Time) []dispatch.Decision
 }
 
-// run applies the workload to a pool. Without affinity, asks name no object.
+// run applies the workload to a pool. Without affinity, slot requests name no
+// object.
 func (s workload) run(affinity bool) results {
 	now := time.Unix(1_800_000_000, 0)
-	pool := dispatch.NewPool("t/", dispatch.Setup{
+	pool := dispatch.NewPool("t/", dispatch.Config{
 		ColdRate: func(string) float64 { return 0 }, RegionOf: func(string) string { return "" },
-		Draw: func() float64 { return 0.5 },
+		Random: func() float64 { return 0.5 },
 	})
 	for i := range s.endpoints {
-		pool.Learn(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: s.slots, Born: 1, Heard: now})
+		pool.Learn(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: s.slots, StartedMillis: 1, LastSeen: now})
 	}
 	return s.runOn(now, pool, affinity)
 }
@@ -98,18 +99,18 @@
 	}
 	var out results
 	var runs completionHeap
-	objects, asked := make(map[string]string), make(map[string]time.Time)
+	objects, requested := make(map[string]string), make(map[string]time.Time)
 	start := func(d dispatch.Decision) {
 		if d.Grant == "" {
 			out.refused++
 			return
 		}
 		runTime := s.cold
-		if memories[d.Endpoint.ID].serve(objects[d.Ask.ID]) {
+		if memories[d.Endpoint.ID].serve(objects[d.Request.ID]) {
 			runTime = s.warm
 		}
 		heap.Push(&runs, completion{now.Add(runTime), d.Grant, runTime})
-		if now.Add(runTime).Sub(asked[d.Ask.ID]) <= s.target {
+		if now.Add(runTime).Sub(requested[d.Request.ID]) <= s.target {
 			out.inTarget++
 		} else {
 			out.late++
@@ -137,14 +138,14 @@
 		if next.After(now) {
 			continue
 		}
-		out.asked++
-		id, object := fmt.Sprint(out.asked), fmt.Sprint(random.IntN(s.objects))
-		objects[id], asked[id] = object, now
-		ask := dispatch.Ask{ID: id, Service: "s", Kind: "k", Target: s.target, Deadline: now.Add(4 * time.Second)}
+		out.requested++
+		id, object := fmt.Sprint(out.requested), fmt.Sprint(random.IntN(s.objects))
+		objects[id], requested[id] = object, now
+		request := dispatch.SlotRequest{ID: id, Service: "s", Kind: "k", Target: s.target, Deadline: now.Add(4 * time.Second)}
 		if affinity {
-			ask.Affinity = object
+			request.Affinity = object
 		}
-		if d, decided := pool.Acquire(now, ask); decided {
+		if d, decided := pool.Acquire(now, request); decided {
 			start(d)
 		}
 		perSecond := s.perSecond
@@ -168,6 +169,6 @@
 	is := is.New(t)
 	aware, unaware := s.run(true), s.run(false)
 	t.Logf("with objects %+v, without %+v", aware, unaware)
-	is.True(5*aware.inTarget > 4*aware.asked)
-	is.True(2*unaware.inTarget < unaware.asked)
+	is.True(5*aware.inTarget > 4*aware.requested)
+	is.True(2*unaware.inTarget < unaware.requested)
 }
--- a/internal/core/document/moves.go
+++ b/internal/core/document/moves.go
@@ -9,14 +9,14 @@
 	// Slots is the place's part of the service's slots in the old document, if
 	// the workers are spread evenly over the service's places.
 	Slots int `json:"slots"`
-	// Ways are the rules that permit the traffic to shift. Without any, its
+	// Rules are the rules that permit the traffic to shift. Without any, its
 	// requests are refused.
-	Ways []Way `json:"ways"`
+	Rules []ShiftRule `json:"ways"`
 }
 
-// Way is a rule that permits traffic to shift, with the bandwidth that the answers
-// need at its cap on the link between the regions.
-type Way struct {
+// ShiftRule is a rule that permits traffic to shift, with the bandwidth that
+// the answers need at its cap on the link between the regions.
+type ShiftRule struct {
 	// Rule and To name the rule and its destination.
 	Rule string `json:"rule"`
 	To   string `json:"to"`
@@ -54,16 +54,17 @@
 				Service: s.Name,
 				From:    place,
 				Slots:   s.Workers * s.Slots / len(s.Places),
-				Ways:    after.ways(s.Name, place),
+				Rules:   after.shiftRules(s.Name, place),
 			})
 		}
 	}
 	return moves
 }
 
-// ways returns the rules that permit the service's traffic to leave the place.
-func (v *validator) ways(service, place string) []Way {
-	var ways []Way
+// shiftRules returns the rules that permit the service's traffic to leave the
+// place.
+func (v *validator) shiftRules(service, place string) []ShiftRule {
+	var shiftRules []ShiftRule
 	region := v.regionOf[place]
 	for i := range v.doc.Rules {
 		r := &v.doc.Rules[i]
@@ -71,20 +72,20 @@
 		if !leaves || (r.Service != "" && r.Service != service) {
 			continue
 		}
-		way := Way{Rule: r.Name, To: r.To, RequestsPerS: r.RequestsPerS, Ramp: r.Ramp}
+		shiftRule := ShiftRule{Rule: r.Name, To: r.To, RequestsPerS: r.RequestsPerS, Ramp: r.Ramp}
 		to := r.To
 		if in, ok := v.regionOf[to]; ok {
 			to = in
 		}
 		if link := v.link[[2]string{to, region}]; link != nil {
 			_, answer := v.messageSizes(r)
-			way.Link = to + " to " + region
-			way.MbitPerS = mbitPerS(r.RequestsPerS, answer)
-			way.UsableMbitPerS = link.UsableMbitPerS()
+			shiftRule.Link = to + " to " + region
+			shiftRule.MbitPerS = mbitPerS(r.RequestsPerS, answer)
+			shiftRule.UsableMbitPerS = link.UsableMbitPerS()
 		}
-		ways = append(ways, way)
+		shiftRules = append(shiftRules, shiftRule)
 	}
-	return ways
+	return shiftRules
 }
 
 // mbitPerS returns the bandwidth of requestsPerS messages per second of the given
--- a/internal/core/fleet/config.go
+++ b/internal/core/fleet/config.go
@@ -59,8 +59,8 @@
 	Sticky bool `json:"Sticky"`
 	// Parts divide the requests by weight; a single part gets all.
 	Parts []Part `json:"Parts"`
-	// Homes holds the regions in which a request may run; empty means all.
-	Homes []string `json:"Homes"`
+	// Regions holds the regions in which a request may run; empty means all.
+	Regions []string `json:"Homes"`
 }
 
 // Part is the share of a route's requests that one service gets.
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -23,9 +23,9 @@
 	margin = 150 * time.Millisecond
 )
 
-// Ballots holds the votes that one voter has granted, at most one per region.
-// Not safe for concurrent use.
-type Ballots struct {
+// GrantedVotes holds the votes that one voter has granted, at most one per
+// region. Not safe for concurrent use.
+type GrantedVotes struct {
 	mayVoteAt time.Time
 	votes     map[string]vote
 }
@@ -35,17 +35,17 @@
 	until  time.Time
 }
 
-// NewBallots returns the votes of a voter that starts now. It grants none for
-// one Term.
-func NewBallots(now time.Time) *Ballots {
-	return &Ballots{mayVoteAt: now.Add(Term), votes: make(map[string]vote)}
+// NewGrantedVotes returns the votes of a voter that starts now. It grants none
+// for one Term.
+func NewGrantedVotes(now time.Time) *GrantedVotes {
+	return &GrantedVotes{mayVoteAt: now.Add(Term), votes: make(map[string]vote)}
 }
 
-// Ask handles a candidate's request for the vote for a region and says whether
-// the vote is granted. It is refused for one Term after the voter's start, and
-// while another candidate has an unexpired vote. A candidate that already has
-// the vote gets it for another Term from now.
-func (b *Ballots) Ask(now time.Time, region, candidate string) bool {
+// RequestVote handles a candidate's request for the vote for a region and says
+// whether the vote is granted. It is refused for one Term after the voter's
+// start, and while another candidate has an unexpired vote. A candidate that
+// already has the vote gets it for another Term from now.
+func (b *GrantedVotes) RequestVote(now time.Time, region, candidate string) bool {
 	if now.Before(b.mayVoteAt) {
 		return false
 	}
@@ -56,9 +56,9 @@
 	return true
 }
 
-// Drop releases the vote for a region if holder has it, so that another
+// ReleaseVote releases the vote for a region if holder has it, so that another
 // candidate can get it before the term ends.
-func (b *Ballots) Drop(region, holder string) {
+func (b *GrantedVotes) ReleaseVote(region, holder string) {
 	if b.votes[region].holder == holder {
 		delete(b.votes, region)
 	}
@@ -71,9 +71,9 @@
 // NewCandidate returns a candidate without votes.
 func NewCandidate() *Candidate { return &Candidate{expiry: make(map[string]time.Time)} }
 
-// Voted records the reply of a voter to a request sent at sentAt. A refusal
-// leaves an earlier vote in place.
-func (c *Candidate) Voted(voter string, sentAt time.Time, granted bool) {
+// RecordReply records the reply of a voter to a request sent at sentAt. A
+// refusal leaves an earlier vote in place.
+func (c *Candidate) RecordReply(voter string, sentAt time.Time, granted bool) {
 	if granted {
 		c.expiry[voter] = sentAt.Add(Term - margin)
 	}
@@ -91,15 +91,15 @@
 	return n > len(voters)/2
 }
 
-// Resign discards all votes.
-func (c *Candidate) Resign() { c.expiry = make(map[string]time.Time) }
+// DiscardVotes discards all votes.
+func (c *Candidate) DiscardVotes() { c.expiry = make(map[string]time.Time) }
 
-// Before says whether controller A is preferred to controller B as the
+// Precedes says whether controller A is preferred to controller B as the
 // dispatcher of a region: one located in the region comes first, then the one
 // with the higher rendezvous weight, then the one with the higher address.
 // Rendezvous hashing spreads the regions over the controllers and needs no
 // agreement between them.
-func Before(region, regionA, addressA, regionB, addressB string) bool {
+func Precedes(region, regionA, addressA, regionB, addressB string) bool {
 	if (regionA == region) != (regionB == region) {
 		return regionA == region
 	}
--- a/internal/core/membership/faults_test.go
+++ b/internal/core/membership/faults_test.go
@@ -358,7 +358,7 @@
 		receive("a", "p", 1, n+1, false)
 	}
 	receive("a", "p", 1, 11, true)
-	is.True(!table.Relieved(now))
+	is.True(!table.MayLeave(now))
 	receive("far", "q", 2, 12, false)
-	is.True(!table.Relieved(now))
+	is.True(!table.MayLeave(now))
 }
--- a/internal/core/membership/relief.go
+++ b/internal/core/membership/leave.go
@@ -8,13 +8,13 @@
 	return !t.Fenced(now) && t.settledSelf(now)
 }
 
-// Relieved says whether this entry may leave without a time in which its place
+// MayLeave says whether this entry may leave without a time in which its place
 // has no owner: it cannot own groups itself, or another entry of the place can,
 // or the place has no other entry that could come to do so. An entry that is
 // leaving counts as one that could until it is unresponsive, since it may be
 // about to restart. So does an entry whose restart is known only from outside
 // the cell.
-func (t *Table) Relieved(now time.Time) bool {
+func (t *Table) MayLeave(now time.Time) bool {
 	if !t.Settled(now) {
 		return true
 	}
--- a/internal/core/quarantine/death.go
+++ b/internal/core/quarantine/death.go
@@ -7,11 +7,12 @@
 	"sassafrasreach/internal/core/fingerprint"
 )
 
-// Died records the death of an endpoint incarnation. It attributes the death to
-// the requests that were in flight on it, to those lost on it that are still
-// remembered, and to those in inFlight. Further calls for the same incarnation
-// attribute it to a request in inFlight only if the earlier calls did not.
-func (t *Table) Died(now time.Time, endpoint string, number uint64, inFlight ...fingerprint.Fingerprint) Change {
+// RecordDeath records the death of an endpoint incarnation. It attributes the
+// death to the requests that were in flight on it, to those lost on it that are
+// still remembered, and to those in inFlight. Further calls for the same
+// incarnation attribute it to a request in inFlight only if the earlier calls
+// did not.
+func (t *Table) RecordDeath(now time.Time, endpoint string, number uint64, inFlight ...fingerprint.Fingerprint) Change {
 	on := incarnation{endpoint, number}
 	before := t.quarantinedLocally(now)
 	d := t.death(now, on)
--- a/internal/core/quarantine/memory.go
+++ b/internal/core/quarantine/memory.go
@@ -7,21 +7,21 @@
 	"sassafrasreach/internal/core/fingerprint"
 )
 
-// Silent identifies an endpoint incarnation that lost a run and is presumed
-// dead: for Blame it has shown no evidence of liveness, that is, no report and
-// no answer.
-type Silent struct {
-	Endpoint string
-	Number   uint64
+// UnresponsiveEndpoint identifies an endpoint incarnation that lost a run and
+// is presumed dead: for DetectionTimeout it has shown no evidence of liveness,
+// that is, no report and no answer.
+type UnresponsiveEndpoint struct {
+	Endpoint    string
+	Incarnation uint64
 }
 
 // Expire removes expired records. It is cheap enough to be called once a
 // second. The endpoints that it returns are to be presumed dead.
-func (t *Table) Expire(now time.Time) []Silent {
+func (t *Table) Expire(now time.Time) []UnresponsiveEndpoint {
 	t.deaths = slices.DeleteFunc(t.deaths, func(d death) bool {
 		return now.Sub(d.at) >= t.cfg.Hold
 	})
-	var unresponsive []Silent
+	var unresponsive []UnresponsiveEndpoint
 	for f, r := range t.records {
 		t.dropOldRuns(now, r)
 		t.dropIdle(now, f, r)
@@ -38,23 +38,23 @@
 
 // unresponsive returns the endpoints of the record's runs that are presumed
 // dead.
-func (t *Table) unresponsive(now time.Time, r *record) []Silent {
-	var all []Silent
+func (t *Table) unresponsive(now time.Time, r *record) []UnresponsiveEndpoint {
+	var all []UnresponsiveEndpoint
 	for _, x := range r.runs {
-		old := !x.lost.IsZero() && now.Sub(x.lost) >= t.cfg.Blame
+		old := !x.lost.IsZero() && now.Sub(x.lost) >= t.cfg.DetectionTimeout
 		if old && (x.reset || t.stoppedReporting(now, x.on)) {
-			all = append(all, Silent{Endpoint: x.on.endpoint, Number: x.on.number})
+			all = append(all, UnresponsiveEndpoint{Endpoint: x.on.endpoint, Incarnation: x.on.number})
 		}
 	}
 	return all
 }
 
 // stoppedReporting reports whether an incarnation reported itself before, but
-// for Blame has neither done so again nor been sent a request that it answered.
-// An incarnation that announced that it leaves isn't included.
+// for DetectionTimeout has neither done so again nor been sent a request that
+// it answered. An incarnation that announced that it leaves isn't included.
 func (t *Table) stoppedReporting(now time.Time, on incarnation) bool {
 	at, ok := t.lastReport[on]
-	return ok && now.Sub(later(at, t.answeredRunStart[on])) >= t.cfg.Blame
+	return ok && now.Sub(later(at, t.answeredRunStart[on])) >= t.cfg.DetectionTimeout
 }
 
 // expireEndpoints removes the reports and answers that are older than Hold.
@@ -82,11 +82,11 @@
 }
 
 // runExpired reports whether no death can be attributed to a lost run any more.
-// A run that was given up expires early, after Blame, while there are more
-// records than half of MaxEntries.
+// A run that was given up expires early, after DetectionTimeout, while there
+// are more records than half of MaxEntries.
 func (t *Table) runExpired(now time.Time, x run) bool {
 	age := now.Sub(x.lost)
-	if x.lost.IsZero() || age < t.cfg.Blame {
+	if x.lost.IsZero() || age < t.cfg.DetectionTimeout {
 		return false
 	}
 	if x.reset {
--- a/internal/core/quarantine/order.go
+++ b/internal/core/quarantine/order.go
@@ -34,24 +34,24 @@
 	return max(uint64(now.UnixMicro()), o.changed+1, o.lifted+1)
 }
 
-// Changed returns the version of a change of f that was just made here.
-func (t *Table) Changed(now time.Time, f fingerprint.Fingerprint) uint64 {
+// NewChangeVersion returns the version of a change of f that was just made here.
+func (t *Table) NewChangeVersion(now time.Time, f fingerprint.Fingerprint) uint64 {
 	r := t.record(f)
 	r.changed = r.nextVersion(now)
 	return r.changed
 }
 
-// Lifted returns the version of a lift of f that was just made here.
-func (t *Table) Lifted(now time.Time, f fingerprint.Fingerprint) uint64 {
+// NewLiftVersion returns the version of a lift of f that was just made here.
+func (t *Table) NewLiftVersion(now time.Time, f fingerprint.Fingerprint) uint64 {
 	r := t.record(f)
 	t.recordLift(now, r, r.nextVersion(now))
 	return r.lifted
 }
 
-// LiftByOrder lifts the quarantine of f for an operator and returns the lift's
-// version. An order within liftRepeat after any lift of f, also one by another
-// entry, counts as a repetition: again is set and nothing changes.
-func (t *Table) LiftByOrder(now time.Time, f fingerprint.Fingerprint) (version uint64, again bool) {
+// LiftByOperator lifts the quarantine of f for an operator and returns the
+// lift's version. An order within liftRepeat after any lift of f, also one by
+// another entry, counts as a repetition: again is set and nothing changes.
+func (t *Table) LiftByOperator(now time.Time, f fingerprint.Fingerprint) (version uint64, again bool) {
 	r := t.record(f)
 	if !r.liftedAt.IsZero() && now.Sub(r.liftedAt) < liftRepeat {
 		return 0, true
@@ -71,8 +71,8 @@
 	}
 }
 
-// TakeLift applies another entry's lift of f, unless a newer change is known.
-func (t *Table) TakeLift(now time.Time, f fingerprint.Fingerprint, version uint64) {
+// ApplyLift applies another entry's lift of f, unless a newer change is known.
+func (t *Table) ApplyLift(now time.Time, f fingerprint.Fingerprint, version uint64) {
 	r := t.record(f)
 	if version <= r.lifted {
 		return
@@ -83,9 +83,9 @@
 	t.recordLift(now, r, version)
 }
 
-// TakeChange reports whether a change made by another entry is to be applied;
+// ApplyChange reports whether a change made by another entry is to be applied;
 // one that isn't newer than the newest lift isn't.
-func (t *Table) TakeChange(f fingerprint.Fingerprint, version uint64) bool {
+func (t *Table) ApplyChange(f fingerprint.Fingerprint, version uint64) bool {
 	r := t.records[f]
 	if r != nil && version <= r.lifted {
 		return false
@@ -95,9 +95,10 @@
 	return true
 }
 
-// Held returns the fingerprints that other entries are to refuse: those in
-// quarantine, and those that are held back because of a death or a reset.
-func (t *Table) Held(now time.Time) []Entry {
+// ActiveEntries returns the fingerprints that other entries are to refuse:
+// those in quarantine, and those that are held back because of a death or a
+// reset.
+func (t *Table) ActiveEntries(now time.Time) []Entry {
 	all := t.List(now)
 	for f, r := range t.records {
 		if now.Before(r.quarantinedUntil) || r.changed <= r.lifted {
--- a/internal/core/quarantine/schedule_test.go
+++ b/internal/core/quarantine/schedule_test.go
@@ -61,7 +61,7 @@
 			}
 		}
 		for _, j := range f.pendingDeaths[f.now] {
-			f.Died(f.now, j.endpoint, j.number)
+			f.RecordDeath(f.now, j.endpoint, j.number)
 		}
 	}
 	f.Expire(f.now)
@@ -81,7 +81,7 @@
 
 func (f *simulation) end(j *testRun, end quarantine.End) {
 	j.ended = true
-	f.Ended(f.now, j.endpoint, j.number, j.fp, end)
+	f.EndRun(f.now, j.endpoint, j.number, j.fp, end)
 }
 
 func (f *simulation) request(fp fingerprint.Fingerprint, endpoint string, poisonous bool) {
@@ -91,7 +91,7 @@
 		}
 		f.lastRequested = f.now
 	}
-	if f.Started(f.now, endpoint, f.numbers[endpoint], fp, "s") != quarantine.Admitted {
+	if f.StartRun(f.now, endpoint, f.numbers[endpoint], fp, "s") != quarantine.Admitted {
 		return
 	}
 	j := &testRun{fp: fp, endpoint: endpoint, number: f.numbers[endpoint]}
@@ -136,7 +136,7 @@
 					f.end(j, quarantine.Answered)
 				}
 			},
-			"give up": func(*rapid.T) { f.end(open(), quarantine.Lost) },
+			"give up": func(*rapid.T) { f.end(open(), quarantine.Abandoned) },
 			"pass":    func(*rapid.T) { f.step(time.Duration(rapid.IntRange(1, 80).Draw(t, "ticks")) * 100 * time.Millisecond) },
 			"pass the quarantine but for a second": func(*rapid.T) {
 				f.step(cfg.Hold - time.Second)
@@ -160,8 +160,8 @@
 	table := quarantine.NewTable(small)
 	for n := range 10_000 {
 		f := fingerprint.Of("s", "GET", fmt.Sprint(n), nil)
-		is.Equal(table.Started(epoch, "w", 1, f, "s"), quarantine.Admitted)
-		table.Ended(epoch, "w", 1, f, quarantine.End(n%2)*quarantine.Answered)
+		is.Equal(table.StartRun(epoch, "w", 1, f, "s"), quarantine.Admitted)
+		table.EndRun(epoch, "w", 1, f, quarantine.End(n%2)*quarantine.Answered)
 	}
 	records, proven := table.Size()
 	is.True(records <= small.MaxEntries+1)
@@ -183,7 +183,7 @@
 // don't know of each other's losses.
 func TestResendsThroughSeveralEntries(t *testing.T) {
 	const entries, resends, orders = 3, 6, 729
-	for _, pause := range []time.Duration{crashDelay, noticeDelay + time.Second, cfg.Blame + time.Second} {
+	for _, pause := range []time.Duration{crashDelay, noticeDelay + time.Second, cfg.DetectionTimeout + time.Second} {
 		for order := range orders {
 			is := is.New(t)
 			tables := make([]*quarantine.Table, entries)
@@ -210,11 +210,11 @@
 					notices[0].deliver()
 					notices = notices[1:]
 				}
-				if tables[from].Started(now, "w", deaths, poison, "s") == quarantine.Admitted {
-					sendChange(now, from, tables[from].Ended(now, "w", deaths, poison, quarantine.Reset), cfg.Blame)
+				if tables[from].StartRun(now, "w", deaths, poison, "s") == quarantine.Admitted {
+					sendChange(now, from, tables[from].EndRun(now, "w", deaths, poison, quarantine.Reset), cfg.DetectionTimeout)
 					number, noticed := deaths, now.Add(noticeDelay)
 					notices = append(notices, deathNotice{noticed, func() {
-						sendChange(noticed, from, tables[from].Died(noticed, "w", number), cfg.Hold)
+						sendChange(noticed, from, tables[from].RecordDeath(noticed, "w", number), cfg.Hold)
 					}})
 					deaths++
 				}
@@ -238,7 +238,7 @@
 		for n := range tables {
 			tables[n] = quarantine.NewTable(cfg)
 			for k := range 4 {
-				if tables[n].Started(epoch, fmt.Sprint("w", n, k), 1, poison, "s") == quarantine.Admitted {
+				if tables[n].StartRun(epoch, fmt.Sprint("w", n, k), 1, poison, "s") == quarantine.Admitted {
 					runs++
 				}
 			}
@@ -246,8 +246,8 @@
 		is.Equal(runs, 2*entries)
 		for n, table := range tables {
 			for k := range 2 {
-				table.Ended(epoch, fmt.Sprint("w", n, k), 1, poison, quarantine.Reset)
-				changes = append(changes, table.Died(epoch, fmt.Sprint("w", n, k), 1))
+				table.EndRun(epoch, fmt.Sprint("w", n, k), 1, poison, quarantine.Reset)
+				changes = append(changes, table.RecordDeath(epoch, fmt.Sprint("w", n, k), 1))
 			}
 		}
 		for _, change := range changes {
@@ -258,7 +258,7 @@
 			}
 		}
 		for _, table := range tables {
-			is.Equal(table.Started(epoch, "w", 1, poison, "s"), quarantine.Refused)
+			is.Equal(table.StartRun(epoch, "w", 1, poison, "s"), quarantine.Refused)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	b.ResetTimer()
 	for n := range b.N {
 		f := all[n%len(all)]
-		table.Started(epoch, "w", 1, f, "s")
-		table.Ended(epoch, "w", 1, f, quarantine.Answered)
+		table.StartRun(epoch, "w", 1, f, "s")
+		table.EndRun(epoch, "w", 1, f, quarantine.Answered)
 	}
 }
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -50,10 +50,10 @@
 	return remaining, true
 }
 
-// Started decides whether a run of f on an endpoint may start, and records it
+// StartRun decides whether a run of f on an endpoint may start, and records it
 // if admitted. Like Check, it extends the time for which the deaths of f are
 // remembered, except while f is refused because another entry suspects it.
-func (t *Table) Started(now time.Time, endpoint string, number uint64, f fingerprint.Fingerprint, service string) Admission {
+func (t *Table) StartRun(now time.Time, endpoint string, number uint64, f fingerprint.Fingerprint, service string) Admission {
 	if _, quarantined := t.Check(now, f); quarantined || t.suspectedByPeer(now, f) {
 		return Refused
 	}
@@ -79,14 +79,14 @@
 
 // unresolvedRuns returns the number of runs that may still crash their
 // endpoint, or may have crashed it: those in flight and those that were lost. A
-// run that was given up counts for Blame at most, and no longer once its
-// endpoint has answered a later run. A run whose connection was reset counts
-// until dropOldRuns removes it.
+// run that was given up counts for DetectionTimeout at most, and no longer once
+// its endpoint has answered a later run. A run whose connection was reset
+// counts until dropOldRuns removes it.
 func (t *Table) unresolvedRuns(now time.Time, r *record) int {
 	n := 0
 	for _, x := range r.runs {
 		givenUp := !x.lost.IsZero() && !x.reset
-		if givenUp && (t.answeredLaterRun(x) || now.Sub(x.lost) >= t.cfg.Blame) {
+		if givenUp && (t.answeredLaterRun(x) || now.Sub(x.lost) >= t.cfg.DetectionTimeout) {
 			continue
 		}
 		n++
@@ -116,10 +116,10 @@
 	return n
 }
 
-// Ended records the end of an admitted run. Unless f is in quarantine, an answer
-// marks f as proven and removes its deaths and lost runs. While more than MaxEntries fingerprints have a
-// record, a lost run isn't remembered.
-func (t *Table) Ended(now time.Time, endpoint string, number uint64, f fingerprint.Fingerprint, end End) Change {
+// EndRun records the end of an admitted run. Unless f is in quarantine, an
+// answer marks f as proven and removes its deaths and lost runs. While more
+// than MaxEntries fingerprints have a record, a lost run isn't remembered.
+func (t *Table) EndRun(now time.Time, endpoint string, number uint64, f fingerprint.Fingerprint, end End) Change {
 	r := t.records[f]
 	on := incarnation{endpoint, number}
 	if r == nil {
@@ -129,7 +129,7 @@
 	if i < 0 {
 		return Change{}
 	}
-	if (end == Lost || end == Reset) && len(t.records) <= t.cfg.MaxEntries {
+	if (end == Abandoned || end == Reset) && len(t.records) <= t.cfg.MaxEntries {
 		r.runs[i].lost = now
 		r.runs[i].reset = end == Reset
 		return t.suspectChange(now, f, end)
@@ -145,14 +145,14 @@
 	return c
 }
 
-// Heard records that an endpoint incarnation reported itself just now.
-func (t *Table) Heard(now time.Time, endpoint string, number uint64) {
+// RecordReport records that an endpoint incarnation reported itself just now.
+func (t *Table) RecordReport(now time.Time, endpoint string, number uint64) {
 	t.lastReport[incarnation{endpoint, number}] = now
 }
 
-// Left records that an endpoint incarnation leaves; missing reports don't mean
-// that it died.
-func (t *Table) Left(endpoint string, number uint64) {
+// RecordLeaving records that an endpoint incarnation leaves; missing reports
+// don't mean that it died.
+func (t *Table) RecordLeaving(endpoint string, number uint64) {
 	delete(t.lastReport, incarnation{endpoint, number})
 }
 
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -29,11 +29,11 @@
 func (b *testTable) advance(d time.Duration) { b.now = b.now.Add(d) }
 
 func (b *testTable) start(endpoint string, f fingerprint.Fingerprint) quarantine.Admission {
-	return b.Started(b.now, endpoint, 1, f, "roster-desk")
+	return b.StartRun(b.now, endpoint, 1, f, "roster-desk")
 }
 
 func (b *testTable) end(endpoint string, f fingerprint.Fingerprint, end quarantine.End) quarantine.Change {
-	return b.Ended(b.now, endpoint, 1, f, end)
+	return b.EndRun(b.now, endpoint, 1, f, end)
 }
 
 // kill starts f on the endpoint, which then dies.
@@ -41,7 +41,7 @@
 	b.start(endpoint, f)
 	b.end(endpoint, f, quarantine.Reset)
 	b.advance(time.Second)
-	return b.Died(b.now, endpoint, 1)
+	return b.RecordDeath(b.now, endpoint, 1)
 }
 
 // prove lets a run of f be answered once.
@@ -67,11 +67,11 @@
 		return func(b B) {
 			b.start("w1", poison)
 			b.start("w2", poison)
-			b.Died(b.now, "w1", 1)
-			b.Died(b.now, "w2", 1)
+			b.RecordDeath(b.now, "w1", 1)
+			b.RecordDeath(b.now, "w2", 1)
 			b.advance(apart)
 			for n := range others {
-				b.Died(b.now, fmt.Sprint("o", n), 1)
+				b.RecordDeath(b.now, fmt.Sprint("o", n), 1)
 			}
 		}
 	}
@@ -84,16 +84,16 @@
 		b.start("w2", second)
 		b.end("w2", second, quarantine.Answered)
 	}
-	died := func(b B) { b.Died(b.now, "w1", 1) }
+	died := func(b B) { b.RecordDeath(b.now, "w1", 1) }
 	expire := func(b B) {
 		for _, dead := range b.Expire(b.now) {
-			b.Died(b.now, dead.Endpoint, dead.Number)
+			b.RecordDeath(b.now, dead.Endpoint, dead.Incarnation)
 		}
 	}
 	// dieLater gives up a run whose endpoint dies after a while.
 	dieLater := func(b B, after time.Duration, die func(B)) {
 		b.start("w1", poison)
-		b.end("w1", poison, quarantine.Lost)
+		b.end("w1", poison, quarantine.Abandoned)
 		b.advance(after)
 		die(b)
 		b.kill("w2", poison)
@@ -123,30 +123,30 @@
 			b.start("w1", poison)
 			b.start("w2", poison)
 			b.end("w1", poison, quarantine.Reset)
-			b.end("w2", poison, quarantine.Lost)
-			b.advance(cfg.Blame)
+			b.end("w2", poison, quarantine.Abandoned)
+			b.advance(cfg.DetectionTimeout)
 		}, ok},
-		{"two given up, an endpoint answers later", func(b B) { giveUp(b, quarantine.Lost, cfg.LivenessMargin) }, ok},
-		{"two given up, an endpoint answers at once", func(b B) { giveUp(b, quarantine.Lost, cfg.LivenessMargin-1) }, no},
+		{"two given up, an endpoint answers later", func(b B) { giveUp(b, quarantine.Abandoned, cfg.LivenessMargin) }, ok},
+		{"two given up, an endpoint answers at once", func(b B) { giveUp(b, quarantine.Abandoned, cfg.LivenessMargin-1) }, no},
 		{"two resets, an endpoint answers later", func(b B) { giveUp(b, quarantine.Reset, cfg.LivenessMargin) }, no},
-		{"two resets, an endpoint answers long after", func(b B) { giveUp(b, quarantine.Reset, cfg.Blame) }, ok},
+		{"two resets, an endpoint answers long after", func(b B) { giveUp(b, quarantine.Reset, cfg.DetectionTimeout) }, ok},
 		{"two resets, an endpoint reports itself", func(b B) {
 			giveUp(b, quarantine.Reset, cfg.LivenessMargin)
-			b.Heard(b.now, "w1", 1)
-			b.advance(cfg.Blame)
+			b.RecordReport(b.now, "w1", 1)
+			b.advance(cfg.DetectionTimeout)
 		}, ok},
 		{"two resets, no report or answer", func(b B) {
 			giveUp(b, quarantine.Reset, 0)
-			b.Heard(b.now, "w1", 1)
-			b.advance(cfg.Blame)
+			b.RecordReport(b.now, "w1", 1)
+			b.advance(cfg.DetectionTimeout)
 			expire(b)
 			b.advance(cfg.Hold - 1)
 		}, no},
 		{"one death", kill("w1"), ok},
 		{"one death, one in flight", func(b B) { b.kill("w1", poison); b.start("w2", poison) }, wait},
-		{"one death, one lost", func(b B) { b.kill("w1", poison); b.start("w2", poison); b.end("w2", poison, quarantine.Lost) }, no},
+		{"one death, one lost", func(b B) { b.kill("w1", poison); b.start("w2", poison); b.end("w2", poison, quarantine.Abandoned) }, no},
 		{"one death, proven before", func(b B) { b.prove(poison); b.kill("w1", poison); b.start("w2", poison) }, wait},
-		{"one death reported twice", func(b B) { b.kill("w1", poison); b.Died(b.now, "w1", 1, poison) }, ok},
+		{"one death reported twice", func(b B) { b.kill("w1", poison); b.RecordDeath(b.now, "w1", 1, poison) }, ok},
 		{"one death, then an answer", func(b B) { b.kill("w1", poison); b.start("w2", poison); b.end("w2", poison, quarantine.Answered) }, ok},
 		{"two deaths, an answer between", func(b B) {
 			b.kill("w1", poison)
@@ -157,21 +157,25 @@
 		}, ok},
 		{"two deaths", kill("w1", "w2"), no},
 		{"two deaths, fingerprint named in the report", func(b B) {
-			b.Died(b.now, "w1", 1, second)
-			b.Died(b.now, "w1", 1, poison)
-			b.Died(b.now, "w2", 1, poison)
+			b.RecordDeath(b.now, "w1", 1, second)
+			b.RecordDeath(b.now, "w1", 1, poison)
+			b.RecordDeath(b.now, "w2", 1, poison)
 		}, no},
 		{"death after the fingerprint is no longer held back", func(b B) { dieLater(b, cfg.AttributionTimeout-1, died) }, no},
 		{"death long after the loss", func(b B) { dieLater(b, cfg.AttributionTimeout, died) }, ok},
 		{"late death, an answer between", func(b B) {
-			dieLater(b, cfg.Blame, func(b B) { b.prove(poison); b.advance(cfg.Proven); died(b) })
+			dieLater(b, cfg.DetectionTimeout, func(b B) { b.prove(poison); b.advance(cfg.Proven); died(b) })
 		}, ok},
-		{"given up, the endpoint stops reporting", func(b B) { b.Heard(b.now, "w1", 1); dieLater(b, cfg.Blame, expire) }, no},
+		{"given up, the endpoint stops reporting", func(b B) { b.RecordReport(b.now, "w1", 1); dieLater(b, cfg.DetectionTimeout, expire) }, no},
 		{"given up, the endpoint answers others", func(b B) {
-			b.Heard(b.now, "w1", 1)
-			dieLater(b, cfg.Blame, func(b B) { b.start("w1", second); b.end("w1", second, quarantine.Answered); expire(b) })
+			b.RecordReport(b.now, "w1", 1)
+			dieLater(b, cfg.DetectionTimeout, func(b B) { b.start("w1", second); b.end("w1", second, quarantine.Answered); expire(b) })
+		}, ok},
+		{"given up, the endpoint left", func(b B) {
+			b.RecordReport(b.now, "w1", 1)
+			b.RecordLeaving("w1", 1)
+			dieLater(b, cfg.DetectionTimeout, expire)
 		}, ok},
-		{"given up, the endpoint left", func(b B) { b.Heard(b.now, "w1", 1); b.Left("w1", 1); dieLater(b, cfg.Blame, expire) }, ok},
 		{"quarantine, requested before its end", func(b B) {
 			kill("w1", "w2")(b)
 			b.advance(cfg.Hold - 1)
@@ -192,16 +196,16 @@
 				b.start(fmt.Sprint("w", n), poison)
 			}
 			for n := range 6 {
-				b.Died(b.now, fmt.Sprint("w", n), 1)
+				b.RecordDeath(b.now, fmt.Sprint("w", n), 1)
 			}
 		}, ok},
 		{"two poisons at once", func(b B) {
-			b.Died(b.now, "v1", 1, second)
-			b.Died(b.now, "v2", 1, second)
-			b.Died(b.now, "o1", 1)
-			b.Died(b.now, "o2", 1)
-			b.Died(b.now, "w1", 1, poison)
-			b.Died(b.now, "w2", 1, poison)
+			b.RecordDeath(b.now, "v1", 1, second)
+			b.RecordDeath(b.now, "v2", 1, second)
+			b.RecordDeath(b.now, "o1", 1)
+			b.RecordDeath(b.now, "o2", 1)
+			b.RecordDeath(b.now, "w1", 1, poison)
+			b.RecordDeath(b.now, "w2", 1, poison)
 		}, no},
 	}
 	for _, c := range cases {
@@ -222,7 +226,7 @@
 	all := []fingerprint.Fingerprint{poison}
 	b.start("w1", poison)
 	is.Equal(b.end("w1", poison, quarantine.Reset).Suspected, all)
-	is.Equal(b.Died(b.now, "w1", 1).Suspected, all)
+	is.Equal(b.RecordDeath(b.now, "w1", 1).Suspected, all)
 	is.Equal(b.kill("w2", poison).Quarantined, all)
 	is.Equal(b.List(b.now), []quarantine.Entry{{Fingerprint: poison, Service: "roster-desk", Remaining: cfg.Hold}})
 	remaining, quarantined := b.Check(b.now.Add(time.Minute), poison)
@@ -230,7 +234,7 @@
 	is.Equal(remaining, cfg.Hold-time.Minute)
 	var lifted []fingerprint.Fingerprint
 	for n := range cfg.CorrelatedDeaths {
-		lifted = append(lifted, b.Died(b.now, fmt.Sprint("o", n), 1).Lifted...)
+		lifted = append(lifted, b.RecordDeath(b.now, fmt.Sprint("o", n), 1).Lifted...)
 	}
 	is.Equal(lifted, all)
 	is.Equal(len(b.List(b.now)), 0)
@@ -242,33 +246,33 @@
 	const at = uint64(1_000_000_000_000) // epoch in microseconds
 	type B = *testTable
 	applyChange := func(b B, version uint64) {
-		if b.TakeChange(poison, version) {
+		if b.ApplyChange(poison, version) {
 			b.Add(b.now, poison, cfg.Hold)
 		}
 	}
-	liftByOrder := func(b B) bool { _, again := b.LiftByOrder(b.now, poison); return again }
+	liftByOperator := func(b B) bool { _, again := b.LiftByOperator(b.now, poison); return again }
 	cases := []struct {
 		name string
 		do   func(B)
 		want int // fingerprints in quarantine
 	}{
 		{"change", func(b B) { applyChange(b, at) }, 1},
-		{"lift after it", func(b B) { applyChange(b, at); b.TakeLift(b.now, poison, at+1) }, 0},
-		{"lift older than it", func(b B) { applyChange(b, at); b.TakeLift(b.now, poison, at-1) }, 1},
-		{"change older than a lift", func(b B) { b.TakeLift(b.now, poison, at+1); b.Expire(b.now); applyChange(b, at) }, 0},
-		{"change after a lift", func(b B) { b.TakeLift(b.now, poison, at); applyChange(b, b.Changed(b.now, poison)) }, 1},
-		{"late change after an order", func(b B) { applyChange(b, at); liftByOrder(b); applyChange(b, at+1_000_000) }, 0},
+		{"lift after it", func(b B) { applyChange(b, at); b.ApplyLift(b.now, poison, at+1) }, 0},
+		{"lift older than it", func(b B) { applyChange(b, at); b.ApplyLift(b.now, poison, at-1) }, 1},
+		{"change older than a lift", func(b B) { b.ApplyLift(b.now, poison, at+1); b.Expire(b.now); applyChange(b, at) }, 0},
+		{"change after a lift", func(b B) { b.ApplyLift(b.now, poison, at); applyChange(b, b.NewChangeVersion(b.now, poison)) }, 1},
+		{"late change after an order", func(b B) { applyChange(b, at); liftByOperator(b); applyChange(b, at+1_000_000) }, 0},
 		{"order repeated", func(b B) {
-			liftByOrder(b)
-			applyChange(b, b.Changed(b.now, poison))
+			liftByOperator(b)
+			applyChange(b, b.NewChangeVersion(b.now, poison))
 			b.advance(10 * time.Second)
-			liftByOrder(b)
+			liftByOperator(b)
 		}, 1},
 		{"second order", func(b B) {
-			liftByOrder(b)
-			applyChange(b, b.Changed(b.now, poison))
+			liftByOperator(b)
+			applyChange(b, b.NewChangeVersion(b.now, poison))
 			b.advance(11 * time.Second)
-			liftByOrder(b)
+			liftByOperator(b)
 		}, 0},
 	}
 	for _, c := range cases {
--- a/internal/core/quarantine/types.go
+++ b/internal/core/quarantine/types.go
@@ -11,12 +11,12 @@
 	// Hold is how long a fingerprint stays in quarantine and its deaths are
 	// remembered, counted from when it was last requested.
 	Hold time.Duration
-	// Blame is how long a run that was given up holds its fingerprint back; one
-	// whose connection was reset does so for at least as long. It is also how
-	// long an endpoint that lost a run must show no evidence of liveness to be
-	// presumed dead. It must be longer than the detection of a dead endpoint
+	// DetectionTimeout is how long a run that was given up holds its fingerprint
+	// back; one whose connection was reset does so for at least as long. It is
+	// also how long an endpoint that lost a run must show no evidence of liveness
+	// to be presumed dead. It must be longer than the detection of a dead endpoint
 	// takes.
-	Blame time.Duration
+	DetectionTimeout time.Duration
 	// AttributionTimeout is how long after a run was given up a death can be
 	// attributed to it.
 	AttributionTimeout time.Duration
@@ -35,7 +35,7 @@
 	// MaxEntries is the number of records above which lost runs and lifts are no
 	// longer remembered, and the maximum number of fingerprints that are
 	// remembered as proven. Above half as many records, runs that were given up
-	// are remembered for Blame only.
+	// are remembered for DetectionTimeout only.
 	MaxEntries int
 }
 
@@ -43,7 +43,7 @@
 func DefaultConfig() Config {
 	return Config{
 		Hold:               5 * time.Minute,
-		Blame:              5 * time.Second,
+		DetectionTimeout:   5 * time.Second,
 		AttributionTimeout: time.Minute,
 		LivenessMargin:     time.Second,
 		Proven:             time.Minute,
@@ -57,9 +57,9 @@
 type End uint8
 
 const (
-	// Lost means that the run was given up, so its outcome is unknown. It is
+	// Abandoned means that the run was given up, so its outcome is unknown. It is
 	// the zero value.
-	Lost End = iota
+	Abandoned End = iota
 	// Reset means that the connection broke on the endpoint's side.
 	Reset
 	// Answered means that the endpoint answered.
@@ -79,7 +79,7 @@
 	// ends, the request may be tried again.
 	Wait
 	// Admitted means that the run has started; its end must be recorded by
-	// Ended.
+	// EndRun.
 	Admitted
 )
 
--- a/internal/core/quorum/acceptor.go
+++ b/internal/core/quorum/acceptor.go
@@ -63,7 +63,7 @@
 		return refusal, false
 	}
 	if m.Epoch.Number != a.state.Epoch.Number {
-		return &Refusal{Stranger: true}, false
+		return &Refusal{CannotVote: true}, false
 	}
 	if m.Ballot.Less(a.state.Promised) {
 		return &Refusal{Promised: a.state.Promised}, false
@@ -79,7 +79,7 @@
 func (a *Acceptor) checkTarget(to string, epoch Epoch) *Refusal {
 	switch {
 	case to != a.state.ID || !epoch.Has(to):
-		return &Refusal{Stranger: true, Newer: a.newer(epoch)}
+		return &Refusal{CannotVote: true, Newer: a.newer(epoch)}
 	case epoch.Number < a.state.Epoch.Number:
 		return &Refusal{Newer: a.state.Epoch}
 	default:
@@ -105,7 +105,7 @@
 		return false, nil
 	}
 	if seed == nil && epoch.Number > 1 {
-		return false, &Refusal{Stranger: true}
+		return false, &Refusal{CannotVote: true}
 	}
 	a.state = State{ID: a.state.ID, Epoch: epoch, Accepted: Accepted{Value: seed}}
 	return true, nil
--- a/internal/core/quorum/attempt.go
+++ b/internal/core/quorum/attempt.go
@@ -129,7 +129,7 @@
 	if r.Newer.Number > max(a.epoch.Number, a.newer.Number) {
 		a.newer = r.Newer
 	}
-	if !r.Stranger && (a.phase == Preparing || a.phase == Accepting) {
+	if !r.CannotVote && (a.phase == Preparing || a.phase == Accepting) {
 		a.phase = Outdated
 	}
 	return true
@@ -150,8 +150,9 @@
 // number is zero if there is none.
 func (a *Attempt) Newer() Epoch { return a.newer }
 
-// Kept says that the epoch was already sealed, so that the change wasn't made.
-func (a *Attempt) Kept() bool { return a.kept }
+// EpochSealed says that the epoch was already sealed, so that the change wasn't
+// made.
+func (a *Attempt) EpochSealed() bool { return a.kept }
 
 // Result returns the proposed value and the attempt's ballot. In phase Chosen the
 // value was chosen.
@@ -166,9 +167,9 @@
 	return a.seed
 }
 
-// Following returns the next epoch and its first value after a chosen value that
+// NextEpoch returns the next epoch and its first value after a chosen value that
 // seals its epoch. It returns false if the value doesn't seal it.
-func Following(epoch Epoch, v *Value) (Epoch, *Value, bool) {
+func NextEpoch(epoch Epoch, v *Value) (Epoch, *Value, bool) {
 	if v == nil || v.Next == nil {
 		return Epoch{}, nil, false
 	}
--- a/internal/core/quorum/explore_test.go
+++ b/internal/core/quorum/explore_test.go
@@ -238,7 +238,7 @@
 			s.newest = name
 		}
 	}
-	if next, seed, sealed := quorum.Following(p.epoch, v); sealed {
+	if next, seed, sealed := quorum.NextEpoch(p.epoch, v); sealed {
 		p.epoch, p.seed = next, seed
 	} else {
 		p.seed = v
--- a/internal/core/quorum/types.go
+++ b/internal/core/quorum/types.go
@@ -70,10 +70,10 @@
 	// Newer is a later epoch that the voter has entered; its number is zero if
 	// there is none.
 	Newer Epoch
-	// Stranger says that the disk can't vote in the epoch: the process has
+	// CannotVote says that the disk can't vote in the epoch: the process has
 	// another disk, the epoch doesn't name the disk, or the disk hasn't entered
 	// the epoch and the message is an Accept or has no Seed to enter it with.
-	Stranger bool
+	CannotVote bool
 }
 
 // Prepare requests a promise to ignore lower ballots of an epoch.
--- a/internal/core/register/acceptor.go
+++ b/internal/core/register/acceptor.go
@@ -50,15 +50,15 @@
 // must make it durable before it sends the answer.
 func (a *Acceptor) State() State { return a.state }
 
-func (a *Acceptor) standing() Standing {
-	return Standing{
+func (a *Acceptor) memberState() MemberState {
+	return MemberState{
 		Member: a.self, Voting: a.state.Voting, Generation: a.state.Generation,
 		Fences: a.state.Fences, Promised: a.state.Promised,
 	}
 }
 
-func (a *Acceptor) holding(have Ballot) Holding {
-	h := Holding{Accepted: a.state.Accepted, Committed: a.state.Committed == a.state.Accepted}
+func (a *Acceptor) acceptedValue(have Ballot) AcceptedValue {
+	h := AcceptedValue{Accepted: a.state.Accepted, Committed: a.state.Committed == a.state.Accepted}
 	if have != a.state.Accepted {
 		h.Value = a.state.Value
 	}
@@ -69,24 +69,24 @@
 // promised or the member doesn't vote. The flag says whether the state changed.
 func (a *Acceptor) Prepare(m Prepare) (Promise, bool) {
 	if !a.state.Voting || m.Ballot.Less(a.state.Promised) {
-		return Promise{Standing: a.standing(), Ballot: m.Ballot}, false
+		return Promise{MemberState: a.memberState(), Ballot: m.Ballot}, false
 	}
 	changed := a.state.Promised != m.Ballot
 	a.state.Promised = m.Ballot
-	return Promise{Standing: a.standing(), Holding: a.holding(m.Have), Ballot: m.Ballot, OK: true}, changed
+	return Promise{MemberState: a.memberState(), AcceptedValue: a.acceptedValue(m.Have), Ballot: m.Ballot, OK: true}, changed
 }
 
 // Accept accepts a value, or refuses it if a higher ballot was promised or the
 // member doesn't vote. The flag says whether the state changed.
 func (a *Acceptor) Accept(m Accept) (Accepted, bool) {
 	if !a.state.Voting || m.Ballot.Less(a.state.Promised) {
-		return Accepted{Standing: a.standing(), Ballot: m.Ballot}, false
+		return Accepted{MemberState: a.memberState(), Ballot: m.Ballot}, false
 	}
 	changed := a.state.Accepted != m.Ballot
 	a.state.Promised = m.Ballot
 	a.state.Accepted = m.Ballot
 	a.state.Value = m.Value
-	return Accepted{Standing: a.standing(), Ballot: m.Ballot, OK: true}, changed
+	return Accepted{MemberState: a.memberState(), Ballot: m.Ballot, OK: true}, changed
 }
 
 // Learn marks the accepted value as chosen. If the member accepted under
@@ -118,13 +118,13 @@
 
 // Query reports what was accepted. It doesn't change the state.
 func (a *Acceptor) Query(m Query) Report {
-	return Report{Round: m.Round, Standing: a.standing(), Holding: a.holding(m.Have)}
+	return Report{Round: m.Round, MemberState: a.memberState(), AcceptedValue: a.acceptedValue(m.Have)}
 }
 
 // Probe reports whether the folder is empty. It doesn't change the state.
 func (a *Acceptor) Probe(m Probe) ProbeReply {
 	return ProbeReply{
-		Standing: a.standing(), Echo: m.Nonce, Round: m.Round,
+		MemberState: a.memberState(), Echo: m.Nonce, Round: m.Round,
 		Nonce: a.state.Nonce, Empty: a.state.empty(), Founders: a.state.Founders,
 	}
 }
@@ -134,21 +134,21 @@
 // whether the state changed.
 func (a *Acceptor) Fence(m Fence) (Fenced, bool) {
 	if !a.state.Voting || m.Ballot.Less(a.state.Promised) {
-		return Fenced{Standing: a.standing(), Ballot: m.Ballot}, false
+		return Fenced{MemberState: a.memberState(), Ballot: m.Ballot}, false
 	}
 	changed := a.state.Promised != m.Ballot
 	a.state.Promised = m.Ballot
 	a.state.Fences[m.Member] = maxBallot(a.state.Fences[m.Member], m.Ballot)
 	return Fenced{
-		Standing: a.standing(), Holding: a.holding(Ballot{}), Ballot: m.Ballot,
+		MemberState: a.memberState(), AcceptedValue: a.acceptedValue(Ballot{}), Ballot: m.Ballot,
 		OK: true, Founders: a.state.Founders,
 	}, changed
 }
 
-// Found makes the member vote as a founder of the group, after the member's
+// FoundGroup makes the member vote as a founder of the group, after the member's
 // Start returned the founders' nonces. The member has accepted no value yet, unless
 // it learned a chosen one meanwhile.
-func (a *Acceptor) Found(founders [MaxMembers]uint64) {
+func (a *Acceptor) FoundGroup(founders [MaxMembers]uint64) {
 	a.state.Voting = true
 	a.state.Founders = founders
 	a.adoptCommitted()
@@ -178,9 +178,9 @@
 	a.state.Promised = maxBallot(a.state.Promised, a.state.Committed)
 }
 
-// Overtaken says whether fences, which other members reported, hold a later
+// IsStale says whether fences, which other members reported, hold a later
 // repair of this member than its own state. Such a state is an old image of the
 // disk and must not vote.
-func (a *Acceptor) Overtaken(fences Ballots) bool {
+func (a *Acceptor) IsStale(fences Ballots) bool {
 	return a.state.Voting && a.state.Generation.Less(fences[a.self])
 }
--- a/internal/core/register/attempt.go
+++ b/internal/core/register/attempt.go
@@ -37,7 +37,7 @@
 	phase    Phase
 	promises tally
 	accepts  tally
-	highest  Holding
+	highest  AcceptedValue
 	proposed *Value
 	outcome  port.Outcome
 	err      error
@@ -46,7 +46,7 @@
 
 // NewAttempt returns an attempt under a ballot that no other attempt uses. The
 // proposer already has the value of have, so members omit it from their answers.
-func NewAttempt(g Group, b Ballot, have Holding, decide Decide) *Attempt {
+func NewAttempt(g Group, b Ballot, have AcceptedValue, decide Decide) *Attempt {
 	return &Attempt{group: g, ballot: b, decide: decide, highest: have}
 }
 
@@ -61,12 +61,12 @@
 		return false
 	}
 	if !m.OK {
-		a.reject(m.Standing)
+		a.reject(m.MemberState)
 		return false
 	}
-	a.promises.add(m.Standing)
+	a.promises.add(m.MemberState)
 	if a.highest.Accepted.Less(m.Accepted) {
-		a.highest = m.Holding
+		a.highest = m.AcceptedValue
 	}
 	if a.promises.count() < a.group.Quorum() {
 		return false
@@ -96,10 +96,10 @@
 		return false
 	}
 	if !m.OK {
-		a.reject(m.Standing)
+		a.reject(m.MemberState)
 		return false
 	}
-	a.accepts.add(m.Standing)
+	a.accepts.add(m.MemberState)
 	if a.accepts.count() < a.group.Quorum() {
 		return false
 	}
@@ -113,7 +113,7 @@
 // reject ends the attempt when a voting member promised a higher ballot. A
 // member that doesn't vote can't contribute to the quorum, but doesn't end the
 // attempt either.
-func (a *Attempt) reject(s Standing) {
+func (a *Attempt) reject(s MemberState) {
 	if s.Voting {
 		a.phase = Rejected
 	}
@@ -143,7 +143,7 @@
 	fences      Ballots
 }
 
-func (t *tally) add(s Standing) {
+func (t *tally) add(s MemberState) {
 	t.fences.merge(s.Fences)
 	t.fences[s.Member] = maxBallot(t.fences[s.Member], s.Generation)
 	if t.agreed[s.Member] && s.Generation.Less(t.generations[s.Member]) {
--- a/internal/core/register/explore/handle.go
+++ b/internal/core/register/explore/handle.go
@@ -10,26 +10,26 @@
 	switch b := p.body.(type) {
 	case register.Prepare:
 		out, _ := m.acceptor.Prepare(b)
-		s.clearGenerations(&out.Standing)
+		s.clearGenerations(&out.MemberState)
 		s.reply(p, out)
 		s.maybeLoseVictim(m, p, out.OK)
 	case register.Accept:
 		out, _ := m.acceptor.Accept(b)
-		s.clearGenerations(&out.Standing)
+		s.clearGenerations(&out.MemberState)
 		s.reply(p, out)
 		s.maybeLoseVictim(m, p, out.OK)
 	case register.Learn:
 		m.acceptor.Learn(b)
 	case register.Query:
 		out := m.acceptor.Query(b)
-		s.clearGenerations(&out.Standing)
+		s.clearGenerations(&out.MemberState)
 		s.reply(p, out)
 	case register.Probe:
 		s.reply(p, m.acceptor.Probe(b))
 	case register.Fence:
 		if m.id != p.from {
 			out, _ := m.acceptor.Fence(b)
-			s.clearGenerations(&out.Standing)
+			s.clearGenerations(&out.MemberState)
 			s.reply(p, out)
 		}
 	default:
@@ -40,7 +40,7 @@
 
 // clearGenerations removes generation and fences from an answer if the planted
 // fault requires it.
-func (s *sim) clearGenerations(st *register.Standing) {
+func (s *sim) clearGenerations(st *register.MemberState) {
 	if s.fault == NoGeneration || s.fault == OldImageVotes {
 		st.Generation, st.Fences = register.Ballot{}, register.Ballots{}
 	}
@@ -81,7 +81,7 @@
 		return nil
 	}
 	m.read.Report(b)
-	if m.acceptor.Overtaken(m.read.Fences()) {
+	if m.acceptor.IsStale(m.read.Fences()) {
 		s.replaceDisk(m)
 		return nil
 	}
--- a/internal/core/register/explore/sim.go
+++ b/internal/core/register/explore/sim.go
@@ -79,7 +79,7 @@
 	}
 	for _, m := range s.members {
 		if founded {
-			m.acceptor.Found(founders)
+			m.acceptor.FoundGroup(founders)
 		}
 	}
 	return s
@@ -104,7 +104,7 @@
 	m.image = m.acceptor.State()
 	s.replaceDisk(m)
 	if s.fault == VoteWithoutRepair {
-		m.acceptor.Found([register.MaxMembers]uint64{})
+		m.acceptor.FoundGroup([register.MaxMembers]uint64{})
 	}
 }
 
@@ -157,9 +157,9 @@
 	return m.ballots.Next()
 }
 
-func (m *member) holding() register.Holding {
+func (m *member) acceptedValue() register.AcceptedValue {
 	st := m.acceptor.State()
-	return register.Holding{Accepted: st.Accepted, Value: st.Value, Committed: st.Accepted == st.Committed}
+	return register.AcceptedValue{Accepted: st.Accepted, Value: st.Value, Committed: st.Accepted == st.Committed}
 }
 
 // propose begins an attempt for the member's operation; a nil operation is a read.
@@ -171,7 +171,7 @@
 	if m.attempt != nil {
 		m.ballots.Observe(m.attempt.Seen())
 	}
-	m.attempt = register.NewAttempt(s.group, m.ballot(), m.holding(), decide)
+	m.attempt = register.NewAttempt(s.group, m.ballot(), m.acceptedValue(), decide)
 	s.send(m, m.attempt.Prepare())
 }
 
@@ -204,7 +204,7 @@
 }
 
 func (s *sim) beginRead(m *member) {
-	m.read = register.NewRead(s.group, s.nextNonce(), m.holding())
+	m.read = register.NewRead(s.group, s.nextNonce(), m.acceptedValue())
 	m.readFloor = s.oracle.newest()
 	s.send(m, m.read.Query())
 }
@@ -217,7 +217,7 @@
 		m.start, m.repair, m.copiedReports = nil, nil, nil
 		return
 	}
-	if m.start == nil || !m.start.Of(st) {
+	if m.start == nil || !m.start.IsFor(st) {
 		m.start = register.NewStart(s.group, m.id, st)
 	}
 	s.send(m, m.start.Probe())
@@ -231,7 +231,7 @@
 		return
 	}
 	if founders, ok := m.start.Founders(); ok {
-		m.acceptor.Found(founders)
+		m.acceptor.FoundGroup(founders)
 		return
 	}
 	switch {
--- a/internal/core/register/message.go
+++ b/internal/core/register/message.go
@@ -1,7 +1,7 @@
 package register
 
-// Standing is the part of every answer that describes the answering member.
-type Standing struct {
+// MemberState is the part of every answer that describes the answering member.
+type MemberState struct {
 	Member MemberID
 	// Voting says that the member's state is complete and that its answers count
 	// for a quorum. If false, nothing else in the answer counts, unless it is a
@@ -16,8 +16,8 @@
 	Promised Ballot
 }
 
-// Holding is what a member accepted.
-type Holding struct {
+// AcceptedValue is what a member accepted.
+type AcceptedValue struct {
 	// Accepted is the ballot under which Value was accepted.
 	Accepted Ballot
 	// Value is nil when the requester has it already or nothing was accepted.
@@ -35,8 +35,8 @@
 
 // Promise answers Prepare.
 type Promise struct {
-	Standing
-	Holding
+	MemberState
+	AcceptedValue
 	Ballot Ballot
 	// OK says that the promise was given.
 	OK bool
@@ -50,7 +50,7 @@
 
 // Accepted answers Accept.
 type Accepted struct {
-	Standing
+	MemberState
 	Ballot Ballot
 	// OK says that the value was accepted.
 	OK bool
@@ -74,8 +74,8 @@
 type Report struct {
 	// Round is copied from the query.
 	Round uint64
-	Standing
-	Holding
+	MemberState
+	AcceptedValue
 }
 
 // Probe requests whether a member's folder is empty.
@@ -87,7 +87,7 @@
 
 // ProbeReply answers Probe.
 type ProbeReply struct {
-	Standing
+	MemberState
 	// Echo is the nonce of the probe; Round is copied from it.
 	Echo  uint64
 	Round uint64
@@ -107,8 +107,8 @@
 
 // Fenced answers Fence.
 type Fenced struct {
-	Standing
-	Holding
+	MemberState
+	AcceptedValue
 	Ballot Ballot
 	// OK says that the promise was given.
 	OK bool
--- a/internal/core/register/read.go
+++ b/internal/core/register/read.go
@@ -8,15 +8,15 @@
 	round   uint64
 	reports tally
 	holders [MaxMembers]Ballot
-	highest Holding
-	have    Holding
-	known   Holding
+	highest AcceptedValue
+	have    AcceptedValue
+	known   AcceptedValue
 }
 
 // NewRead returns a query round of a reader that already has the value of have.
 // Each round of an incarnation needs its own number: an answer to another round
 // may be stale, or lack a value that the reader no longer has.
-func NewRead(g Group, round uint64, have Holding) *Read {
+func NewRead(g Group, round uint64, have AcceptedValue) *Read {
 	return &Read{group: g, round: round, have: have, highest: have}
 }
 
@@ -29,17 +29,17 @@
 	if !m.Voting || m.Round != r.round {
 		return
 	}
-	r.reports.add(m.Standing)
+	r.reports.add(m.MemberState)
 	r.holders[m.Member] = m.Accepted
 	if m.Accepted == r.have.Accepted {
 		m.Value = r.have.Value
 	}
 	if m.Committed && r.known.Accepted.Less(m.Accepted) {
-		r.known = m.Holding
+		r.known = m.AcceptedValue
 	}
 	switch c := r.highest.Accepted.Compare(m.Accepted); {
 	case c < 0:
-		r.highest = m.Holding
+		r.highest = m.AcceptedValue
 	case c == 0:
 		r.highest.Committed = r.highest.Committed || m.Committed
 	}
@@ -49,12 +49,12 @@
 func (r *Read) Quorum() bool { return r.reports.count() >= r.group.Quorum() }
 
 // Chosen returns the newest chosen value; for an empty register that is the
-// empty Holding. It returns false without a quorum of reports, and if the value
-// accepted under the highest ballot isn't known to be chosen: an Attempt with
-// Keep is then needed to read the register.
-func (r *Read) Chosen() (Holding, bool) {
+// empty AcceptedValue. It returns false without a quorum of reports, and if the
+// value accepted under the highest ballot isn't known to be chosen: an Attempt
+// with Keep is then needed to read the register.
+func (r *Read) Chosen() (AcceptedValue, bool) {
 	if !r.Quorum() {
-		return Holding{}, false
+		return AcceptedValue{}, false
 	}
 	if r.highest.Committed {
 		return r.highest, true
@@ -71,7 +71,7 @@
 
 // Known returns the newest value that the reports show to be chosen, even without a
 // quorum of reports. It need not be the newest chosen value.
-func (r *Read) Known() (Holding, bool) {
+func (r *Read) Known() (AcceptedValue, bool) {
 	if h, chosen := r.Chosen(); chosen {
 		return h, true
 	}
--- a/internal/core/register/register_test.go
+++ b/internal/core/register/register_test.go
@@ -115,7 +115,7 @@
 func TestStartNeedsAllEmptyAtOneInstant(t *testing.T) {
 	reply := func(from register.MemberID, nonce uint64, p register.Probe) register.ProbeReply {
 		return register.ProbeReply{
-			Standing: register.Standing{Member: from}, Echo: p.Nonce, Round: p.Round, Nonce: nonce, Empty: true,
+			MemberState: register.MemberState{Member: from}, Echo: p.Nonce, Round: p.Round, Nonce: nonce, Empty: true,
 		}
 	}
 	voting := func(m register.ProbeReply) register.ProbeReply { m.Voting, m.Empty = true, false; return m }
--- a/internal/core/register/repair.go
+++ b/internal/core/register/repair.go
@@ -10,7 +10,7 @@
 	ballot   Ballot
 	fenced   tally
 	founders [MaxMembers]uint64
-	highest  Holding
+	highest  AcceptedValue
 	seen     Ballot
 	rejected bool
 }
@@ -49,10 +49,10 @@
 		r.rejected = true
 		return false
 	}
-	r.fenced.add(m.Standing)
+	r.fenced.add(m.MemberState)
 	r.founders = m.Founders
 	if r.highest.Accepted.Less(m.Accepted) {
-		r.highest = m.Holding
+		r.highest = m.AcceptedValue
 	}
 	return r.Done()
 }
--- a/internal/core/register/start.go
+++ b/internal/core/register/start.go
@@ -47,9 +47,9 @@
 	return start
 }
 
-// Of says whether s was created for the folder of state, and whether the folder
-// is empty hasn't changed since.
-func (s *Start) Of(state State) bool { return s.nonce == state.Nonce && s.empty == state.empty() }
+// IsFor says whether s was created for the folder of state, and whether the
+// folder is empty hasn't changed since.
+func (s *Start) IsFor(state State) bool { return s.nonce == state.Nonce && s.empty == state.empty() }
 
 // Probe begins a round and returns its message for every other member. Answers
 // to earlier rounds that arrive later are ignored.
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -20,17 +20,17 @@
 	// Zone is the failure domain.
 	Zone  string
 	Slots int
-	// Born is the start time of the incarnation, in Unix milliseconds on the
-	// endpoint's clock.
-	Born int64
+	// StartedMillis is the start time of the incarnation, in Unix milliseconds on
+	// the endpoint's clock.
+	StartedMillis int64
 	// Sequence increases with each announcement of the incarnation.
 	Sequence int64
 	// Leaving says that the endpoint takes no new requests; Gone, that it signed
 	// off or that a newer endpoint has its address.
 	Leaving bool
 	Gone    bool
-	// Heard is the time of the announcement or sign-off, on this VM's clock.
-	Heard time.Time
+	// LastSeen is the time of the announcement or sign-off, on this VM's clock.
+	LastSeen time.Time
 	// ColdUntil is when the slow start of the endpoint ends, on this VM's clock.
 	ColdUntil time.Time
 }
@@ -58,17 +58,17 @@
 	}
 }
 
-// Learn records an announcement that the endpoint sent or another VM forwarded. It
-// returns false, and changes nothing, if the announcement isn't newer than the
-// recorded one or would make a leaving or gone endpoint ready again. A sign-off of
-// the recorded incarnation applies whatever its sequence.
-func (r *Registry) Learn(e Endpoint) bool {
+// Record records an announcement that the endpoint sent or another VM
+// forwarded. It returns false, and changes nothing, if the announcement isn't
+// newer than the recorded one or would make a leaving or gone endpoint ready
+// again. A sign-off of the recorded incarnation applies whatever its sequence.
+func (r *Registry) Record(e Endpoint) bool {
 	old := r.endpoints[e.ID]
 	if old != nil {
-		switch order := cmp.Or(cmp.Compare(e.Born, old.Born), cmp.Compare(e.Sequence, old.Sequence)); {
-		case e.Born == old.Born && (old.Gone || old.Leaving) && !e.Leaving:
+		switch order := cmp.Or(cmp.Compare(e.StartedMillis, old.StartedMillis), cmp.Compare(e.Sequence, old.Sequence)); {
+		case e.StartedMillis == old.StartedMillis && (old.Gone || old.Leaving) && !e.Leaving:
 			return false
-		case e.Born == old.Born && e.Gone && !old.Gone:
+		case e.StartedMillis == old.StartedMillis && e.Gone && !old.Gone:
 			// A sign-off is accepted with any sequence.
 		case order <= 0:
 			return false
@@ -88,7 +88,7 @@
 		return
 	}
 	for id, other := range r.endpoints {
-		if id != e.ID && other.Address == e.Address && !other.Gone && other.Born < e.Born {
+		if id != e.ID && other.Address == e.Address && !other.Gone && other.StartedMillis < e.StartedMillis {
 			other.Gone, other.Leaving = true, true
 			r.revision++
 			r.changedAt[id] = r.revision
@@ -96,15 +96,15 @@
 	}
 }
 
-// SignOff marks an endpoint as gone and returns it. It returns false if the endpoint
-// is unknown or already gone.
-func (r *Registry) SignOff(id string, now time.Time) (Endpoint, bool) {
+// Deregister marks an endpoint as gone and returns it. It returns false if the
+// endpoint is unknown or already gone.
+func (r *Registry) Deregister(id string, now time.Time) (Endpoint, bool) {
 	old := r.endpoints[id]
 	if old == nil || old.Gone {
 		return Endpoint{ID: id}, false
 	}
 	next := *old
-	next.Gone, next.Leaving, next.Heard = true, true, now
+	next.Gone, next.Leaving, next.LastSeen = true, true, now
 	r.revision++
 	r.endpoints[id] = &next
 	r.changedAt[id] = r.revision
@@ -140,7 +140,7 @@
 func (r *Registry) Sweep(now time.Time) []Endpoint {
 	var removed []Endpoint
 	for id, e := range r.endpoints {
-		if now.Sub(e.Heard) > r.retention {
+		if now.Sub(e.LastSeen) > r.retention {
 			removed = append(removed, *e)
 			delete(r.endpoints, id)
 			delete(r.changedAt, id)
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -11,8 +11,8 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-func announced(id, address string, born, sequence int64) registry.Endpoint {
-	return registry.Endpoint{ID: id, Address: address, Service: "s", Slots: 1, Born: born, Sequence: sequence, Heard: now}
+func announced(id, address string, started, sequence int64) registry.Endpoint {
+	return registry.Endpoint{ID: id, Address: address, Service: "s", Slots: 1, StartedMillis: started, Sequence: sequence, LastSeen: now}
 }
 
 func leaving(e registry.Endpoint) registry.Endpoint {
@@ -54,10 +54,10 @@
 			is := is.New(t)
 			r := registry.New(time.Minute)
 			for _, e := range c.have {
-				r.Learn(e)
+				r.Record(e)
 			}
 			_, before := r.Since(0)
-			is.Equal(r.Learn(c.next), c.accepted)
+			is.Equal(r.Record(c.next), c.accepted)
 			changed, after := r.Since(before)
 			is.Equal(after > before, c.accepted)
 			is.Equal(len(changed) > 0, c.accepted)
@@ -70,11 +70,11 @@
 func TestReusedAddress(t *testing.T) {
 	is := is.New(t)
 	r := registry.New(time.Minute)
-	r.Learn(announced("a", "1:1", 10, 5))
-	r.Learn(announced("b", "1:1", 20, 1))
+	r.Record(announced("a", "1:1", 10, 5))
+	r.Record(announced("b", "1:1", 20, 1))
 	a, _ := r.Get("a")
 	is.True(a.Gone)
-	is.True(!r.Learn(announced("a", "1:1", 10, 6))) // a delayed announcement
+	is.True(!r.Record(announced("a", "1:1", 10, 6))) // a delayed announcement
 	b, _ := r.Get("b")
 	is.True(!b.Gone)
 }
@@ -82,12 +82,12 @@
 func TestSignOffAndSweep(t *testing.T) {
 	is := is.New(t)
 	r := registry.New(time.Minute)
-	_, accepted := r.SignOff("a", now)
+	_, accepted := r.Deregister("a", now)
 	is.True(!accepted) // unknown
-	r.Learn(announced("a", "1:1", 10, 5))
-	e, accepted := r.SignOff("a", now)
+	r.Record(announced("a", "1:1", 10, 5))
+	e, accepted := r.Deregister("a", now)
 	is.True(accepted && e.Gone && e.Leaving)
-	_, accepted = r.SignOff("a", now)
+	_, accepted = r.Deregister("a", now)
 	is.True(!accepted)
 	is.Equal(len(r.Sweep(now.Add(time.Minute))), 0)
 	is.Equal(len(r.Sweep(now.Add(time.Minute+1))), 1)
--- a/internal/core/steering/crossing.go
+++ b/internal/core/steering/choice_at.go
@@ -1,11 +1,11 @@
 package steering
 
-// Crossing returns every rule and every bounded link that a request of a service
+// ChoiceAt returns every rule and every bounded link that a request of a service
 // crosses when it moves from origin to the place at. Served at origin itself it
 // crosses none, even if origin is drained. Otherwise, false means that a place
 // is unknown, that no rule permits the request, or that at is drained for the
 // service. False also means that the service is unknown.
-func (t *Table) Crossing(service, origin, at string) (Choice, bool) {
+func (t *Table) ChoiceAt(service, origin, at string) (Choice, bool) {
 	s, ok := t.services[service]
 	if !ok {
 		return Choice{}, false
--- a/internal/core/steering/rank.go
+++ b/internal/core/steering/rank.go
@@ -42,9 +42,9 @@
 	// carries its body, then the one that carries the answer. A link without a
 	// bound in the document is left out. The slice is nil inside a region.
 	Links []LinkID
-	// Room is the number of slots free for requests from other places,
+	// FreeSlots is the number of slots free for requests from other places,
 	// according to the view; 0 for the origin.
-	Room int
+	FreeSlots int
 
 	tier     tier
 	distance int // class of round-trip times, lower is better
@@ -171,15 +171,15 @@
 		return candidate{}, false
 	}
 	near := from.region == to.region
-	room := SpillSlots(group.Slots, to.reserve) - group.outstanding()
+	freeSlots := SpillSlots(group.Slots, to.reserve) - group.outstanding()
 	c := candidate{
 		Choice: Choice{
-			Place:    to.name,
-			Rules:    rules,
-			Links:    t.linksCrossed(from.region, to.region),
-			Room:     max(room, 0),
-			tier:     tierFar,
-			distance: int(roundTrip(group, near) / roundTripStep),
+			Place:     to.name,
+			Rules:     rules,
+			Links:     t.linksCrossed(from.region, to.region),
+			FreeSlots: max(freeSlots, 0),
+			tier:      tierFar,
+			distance:  int(roundTrip(group, near) / roundTripStep),
 		},
 		headroom:   int(group.headroom() * headroomSteps),
 		spreadHash: spreadHash(s.doc.Name, from.name, to.name),
@@ -187,7 +187,7 @@
 	switch {
 	case group.Age > staleAfter:
 		c.tier = tierStale
-	case room <= 0:
+	case freeSlots <= 0:
 		c.tier = tierFull
 	case near:
 		c.tier = tierNear
--- a/internal/core/steering/rank_test.go
+++ b/internal/core/steering/rank_test.go
@@ -121,7 +121,7 @@
 	is.Equal(len(got[0].Links), 0)
 	is.Equal(got[1].Rules, []string{"out", "roster-out"})
 	is.Equal(got[1].Links, []steering.LinkID{{From: "north", To: "south"}, {From: "south", To: "north"}})
-	is.Equal(got[1].Room, 16)
+	is.Equal(got[1].FreeSlots, 16)
 	is.Equal(len(table.Rank("other", "n1", v)), 0)
 }
 
--- a/internal/core/steering/spread.go
+++ b/internal/core/steering/spread.go
@@ -37,7 +37,7 @@
 func (c Choice) weightedHash(request uint64) float64 {
 	hash := mix(spreadHash(c.Place, "", "") ^ mix(request))
 	uniform := (float64(hash>>11) + 1) / (1 << 53)
-	return -math.Log(uniform) / float64(max(c.Room, 1))
+	return -math.Log(uniform) / float64(max(c.FreeSlots, 1))
 }
 
 // mix is the finalizer of SplitMix64 (Steele, Lea and Flood 2014).
--- a/internal/core/verdict/reason.go
+++ b/internal/core/verdict/reason.go
@@ -27,9 +27,9 @@
 	ReasonKeyReused Reason = "key-reused"
 	// ReasonKeyExpired means that an idempotency key is older than the retention.
 	ReasonKeyExpired Reason = "key-expired"
-	// ReasonHomeLost means that the incarnation of the entry VM that was
+	// ReasonCoordinatorLost means that the incarnation of the entry VM that was
 	// responsible for the idempotency key is gone.
-	ReasonHomeLost Reason = "home-lost"
+	ReasonCoordinatorLost Reason = "home-lost"
 	// ReasonClaimsFull means that the table of claims is full.
 	ReasonClaimsFull Reason = "claims-full"
 	// ReasonTooLarge means that the request's body is larger than the service allows.
--- a/internal/measure/micro.go
+++ b/internal/measure/micro.go
@@ -182,7 +182,7 @@
 	g := fullGroup(now)
 	begun := time.Now()
 	for i := range uint64(rounds) {
-		g.Offer(now, admission.Ticket{ID: i, Own: true, Deadline: now.Add(time.Second)})
+		g.Offer(now, admission.Ticket{ID: i, Local: true, Deadline: now.Add(time.Second)})
 		g.Done(now, i, admission.Result{Latency: 60 * time.Millisecond})
 	}
 	return time.Since(begun) / rounds
@@ -193,20 +193,20 @@
 	now := epoch
 	g := fullGroup(now)
 	for i := range uint64(100) {
-		g.Offer(now, admission.Ticket{ID: i, Own: true, Deadline: now.Add(time.Second)})
+		g.Offer(now, admission.Ticket{ID: i, Local: true, Deadline: now.Add(time.Second)})
 		g.Done(now, i, admission.Result{Latency: 60 * time.Millisecond})
 	}
 	id := uint64(1000)
 	for {
 		id++
-		d := g.Offer(now, admission.Ticket{ID: id, Own: true, Deadline: now.Add(time.Second)})
+		d := g.Offer(now, admission.Ticket{ID: id, Local: true, Deadline: now.Add(time.Second)})
 		if d.Kind == admission.Refused {
 			break
 		}
 	}
 	begun := time.Now()
 	for i := range uint64(rounds) {
-		g.Offer(now, admission.Ticket{ID: id + i, Own: true, Deadline: now.Add(time.Second)})
+		g.Offer(now, admission.Ticket{ID: id + i, Local: true, Deadline: now.Add(time.Second)})
 	}
 	return time.Since(begun) / rounds
 }
--- a/internal/measure/shares.go
+++ b/internal/measure/shares.go
@@ -84,9 +84,9 @@
 
 // inFlight is a request that was sent and doesn't count as arrived yet.
 type inFlight struct {
-	ledger  *budget.Ledger
-	hold    *budget.Hold
-	arrives time.Duration
+	ledger      *budget.Ledger
+	reservation *budget.Reservation
+	arrives     time.Duration
 }
 
 func newShareRun(c ShareCase, arrival time.Duration) *shareRun {
@@ -132,34 +132,34 @@
 // arrive settles the holds of requests that have arrived.
 func (s *shareRun) arrive(at time.Duration) {
 	for len(s.sent) > 0 && s.sent[0].arrives <= at {
-		s.sent[0].ledger.Settle(clockAt(at), s.sent[0].hold, 0)
+		s.sent[0].ledger.Settle(clockAt(at), s.sent[0].reservation, 0)
 		s.sent = s.sent[1:]
 	}
 }
 
 // request sends a request if the entry's share of the cap permits it.
 func (s *shareRun) request(at time.Duration, l *budget.Ledger) {
-	hold := l.Take(clockAt(at), []string{shareRule})
+	reservation := l.Take(clockAt(at), []string{shareRule})
 	counts := at >= shareWarm
 	if counts {
 		s.wanted++
 	}
-	if hold == nil {
+	if reservation == nil {
 		return
 	}
 	if counts {
 		s.admitted++
 	}
-	s.sent = append(s.sent, inFlight{ledger: l, hold: hold, arrives: at + s.arrival})
+	s.sent = append(s.sent, inFlight{ledger: l, reservation: reservation, arrives: at + s.arrival})
 	if s.arrival == 0 {
 		s.arrive(at)
 	}
 }
 
 func (s *shareRun) borrow(at time.Duration, l *budget.Ledger) {
-	for _, r := range l.Wants(clockAt(at)) {
+	for _, r := range l.LoanRequests(clockAt(at)) {
 		g := s.ledgers[r.Lender].Lend(clockAt(at+shareDelay), r)
-		l.Borrowed(clockAt(at+2*shareDelay), r, clockAt(at), g)
+		l.RecordLoan(clockAt(at+2*shareDelay), r, clockAt(at), g)
 	}
 }
 
--- a/internal/measure/steered.go
+++ b/internal/measure/steered.go
@@ -271,7 +271,7 @@
 	a.ticket = admission.Ticket{
 		ID:       a.r.id,
 		Deadline: epoch.Add(a.r.deadline - s.w.oneWay(a.r.origin, place) - s.w.userTrip()),
-		Own:      a.r.origin == place,
+		Local:    a.r.origin == place,
 	}
 	s.offer(g, place, a)
 }
--- a/internal/port/fleet.go
+++ b/internal/port/fleet.go
@@ -143,7 +143,7 @@
 
 // AskSlot requests a slot from the dispatcher of a region.
 type AskSlot struct {
-	dispatch.Ask
+	dispatch.SlotRequest
 	Region string
 }
 
