--- a/internal/adapter/callerhttp/doc.go
+++ b/internal/adapter/callerhttp/doc.go
@@ -12,7 +12,7 @@
 // which states whether the request may have run on an endpoint. Unknown paths and
 // methods get the plain errors of the router.
 //
-// A once-only request is one that must not run twice. It carries a key; the entry VM
-// named in the key (the key's home) knows the outcome of the request's earlier
-// attempts.
+// A once-only request is one that must not run twice. It carries a key; the
+// entry VM named in the key (the key's coordinator) knows the outcome of the
+// request's earlier attempts.
 package callerhttp
--- a/internal/adapter/callerhttp/serve.go
+++ b/internal/adapter/callerhttp/serve.go
@@ -45,7 +45,7 @@
 
 // rejectionError returns the error of a request that is rejected before
 // port.Entry.Serve. With a valid key its verdict is MayHaveRun: the request may be a
-// retry of an attempt that ran, and only the key's home knows.
+// retry of an attempt that ran, and only the key's coordinator knows.
 func rejectionError(r *http.Request, err error) error {
 	if _, keyErr := claims.ParseKey(r.Header.Get(HeaderKey)); keyErr != nil {
 		return err
@@ -102,7 +102,7 @@
 	}
 	if millis <= 0 && r.Header.Get(HeaderKey) != "" {
 		// The deadline has passed, but the request is still forwarded so that the
-		// key's home can report the outcome of earlier attempts.
+		// key's coordinator can report the outcome of earlier attempts.
 		return now, nil
 	}
 	if millis <= 0 {
--- a/internal/adapter/console/console_test.go
+++ b/internal/adapter/console/console_test.go
@@ -227,7 +227,7 @@
 	b.signIn(token)
 	b.press("review", "services[1].workers", "5")
 	form := b.form
-	b.store.LoseAnswers = 1
+	b.store.LoseResponses = 1
 	b.press("submit")
 	b.sees(504, "may have been accepted", "Send again")
 	b.press("submit")
@@ -241,7 +241,7 @@
 	// A draft that is edited after its response was lost is another change.
 	b.signIn(token)
 	b.press("review", "services[1].workers", "6")
-	b.store.LoseAnswers = 1
+	b.store.LoseResponses = 1
 	first := b.form.Get("change_id")
 	b.press("submit")
 	b.sees(504)
--- a/internal/adapter/endpointhttp/caller.go
+++ b/internal/adapter/endpointhttp/caller.go
@@ -64,7 +64,7 @@
 		defer cancel()
 		return nil, notRun(ctx, verdict.ReasonDial, err)
 	}
-	x := c.newExchange(ctx, cancel, p, conn, req, httpReq.Header.Get(c.opts.Dialect.IDHeader))
+	x := c.newExchange(ctx, cancel, p, conn, req, httpReq.Header.Get(c.opts.HeaderConvention.IDHeader))
 	if gate == nil {
 		gate = openGate{}
 	}
@@ -168,7 +168,7 @@
 		return nil, errBadTarget
 	}
 	out.Header = endToEnd(req.Header)
-	c.opts.Dialect.setHeaders(out.Header, to, req)
+	c.opts.HeaderConvention.setHeaders(out.Header, to, req)
 	if req.Host != "" {
 		out.Host = req.Host
 	}
--- a/internal/adapter/endpointhttp/exchange.go
+++ b/internal/adapter/endpointhttp/exchange.go
@@ -55,7 +55,7 @@
 	if err := x.check(in); err != nil {
 		return nil, x.fail(verdict.ReasonBadAnswer, err)
 	}
-	if x.caller.opts.Dialect.NotRun(in.status, in.header) {
+	if x.caller.opts.HeaderConvention.NotRun(in.status, in.header) {
 		return nil, x.finishShed(in)
 	}
 	return x.readBody(in)
@@ -116,14 +116,15 @@
 	return verdict.ReasonBadAnswer
 }
 
-// check returns an error unless the response echoes the request's ID, passes the
-// dialect's check, has a detectable end and declares a length within the limit.
+// check returns an error unless the response echoes the request's ID, passes
+// the header convention's check, has a detectable end and declares a length
+// within the limit.
 func (x *exchange) check(in *response) error {
-	ids := in.header[http.CanonicalHeaderKey(x.caller.opts.Dialect.IDHeader)]
+	ids := in.header[http.CanonicalHeaderKey(x.caller.opts.HeaderConvention.IDHeader)]
 	if len(ids) != 1 || ids[0] != x.id {
 		return fmt.Errorf("%w: %.80q", ErrRequestIDMismatch, ids)
 	}
-	if check := x.caller.opts.Dialect.Check; check != nil {
+	if check := x.caller.opts.HeaderConvention.Check; check != nil {
 		if err := check(in.status, in.header); err != nil {
 			return err
 		}
--- a/internal/adapter/endpointhttp/header_convention.go
+++ b/internal/adapter/endpointhttp/header_convention.go
@@ -8,9 +8,9 @@
 	"sassafrasreach/internal/port"
 )
 
-// Dialect is a header convention of endpoints: the names of the headers that the
-// Caller sets, and how it interprets responses.
-type Dialect struct {
+// HeaderConvention describes the headers of endpoints: the names of those that
+// the Caller sets, and how it interprets responses.
+type HeaderConvention struct {
 	// IDHeader names the header with the ID of a request; a response must echo it.
 	IDHeader string
 	// ExactID means that the request ID is sent unchanged, without a random part.
@@ -18,10 +18,10 @@
 	// TimeoutHeader names the header with the time until the deadline, in
 	// milliseconds.
 	TimeoutHeader string
-	// IncarnationHeader names the header with the ID of the intended endpoint
+	// EndpointIDHeader names the header with the ID of the intended endpoint
 	// (port.Endpoint.ID), which endpoints compare with their own; empty if they
 	// don't.
-	IncarnationHeader string
+	EndpointIDHeader string
 	// NotRun reports whether a response states that the request was not run.
 	NotRun func(status int, h http.Header) bool
 	// Check returns an error for a response that an endpoint wouldn't send, such as
@@ -29,21 +29,21 @@
 	Check func(status int, h http.Header) error
 }
 
-// defaultDialect is the convention of endpoints that announce themselves to entry
-// VMs.
-func defaultDialect() Dialect {
-	return Dialect{IDHeader: HeaderRequestID, TimeoutHeader: HeaderTimeout, NotRun: isShed}
+// defaultHeaderConvention is the convention of endpoints that announce
+// themselves to entry VMs.
+func defaultHeaderConvention() HeaderConvention {
+	return HeaderConvention{IDHeader: HeaderRequestID, TimeoutHeader: HeaderTimeout, NotRun: isShed}
 }
 
-// setHeaders adds the dialect's headers to the headers of a request.
-func (d Dialect) setHeaders(h http.Header, to port.Endpoint, req *port.Request) {
+// setHeaders adds the convention's headers to the headers of a request.
+func (d HeaderConvention) setHeaders(h http.Header, to port.Endpoint, req *port.Request) {
 	id := req.ID
 	if !d.ExactID {
 		id = exchangeID(req.ID)
 	}
 	h.Set(d.IDHeader, id)
-	if d.IncarnationHeader != "" {
-		h.Set(d.IncarnationHeader, to.ID)
+	if d.EndpointIDHeader != "" {
+		h.Set(d.EndpointIDHeader, to.ID)
 	}
 	if !req.Deadline.IsZero() {
 		left := max(time.Until(req.Deadline).Milliseconds(), 0)
--- a/internal/adapter/endpointhttp/options.go
+++ b/internal/adapter/endpointhttp/options.go
@@ -46,9 +46,9 @@
 	MaxBufferedBytes int64
 	// Clock measures how long connections are idle.
 	Clock port.Clock
-	// Dialect is the header convention of the endpoints. An empty IDHeader selects
-	// the one of endpoints that announce themselves to entry VMs.
-	Dialect Dialect
+	// HeaderConvention is the header convention of the endpoints. An empty
+	// IDHeader selects the one of endpoints that announce themselves to entry VMs.
+	HeaderConvention HeaderConvention
 	// Dial replaces the default dialer.
 	Dial DialFunc
 }
@@ -59,8 +59,8 @@
 	setDefault(&o.IdleTimeout, defaultIdleTimeout)
 	setDefault(&o.UserTimeout, defaultUserTimeout)
 	setDefault(&o.MaxBufferedBytes, DefaultMaxBufferedBytes)
-	if o.Dialect.IDHeader == "" {
-		o.Dialect = defaultDialect()
+	if o.HeaderConvention.IDHeader == "" {
+		o.HeaderConvention = defaultHeaderConvention()
 	}
 	if o.Clock == nil {
 		o.Clock = port.ClockFunc(time.Now)
--- a/internal/adapter/endpointhttp/reuse_test.go
+++ b/internal/adapter/endpointhttp/reuse_test.go
@@ -169,7 +169,7 @@
 	}{
 		{"complete", nil, 4 << 20, nil},
 		{"reset", fault(testlink.Reset, testlink.ToDialer, 2<<20), 4 << 20, endpointhttp.ConnectionReset},
-		{"silent", fault(testlink.Silence, testlink.ToDialer, 2<<20), 4 << 20, matches(context.DeadlineExceeded)},
+		{"silent", fault(testlink.Drop, testlink.ToDialer, 2<<20), 4 << 20, matches(context.DeadlineExceeded)},
 		{"over the service's limit", nil, 2 << 20, matches(endpointhttp.ErrTooLarge)},
 	}
 	for _, c := range cases {
@@ -216,7 +216,7 @@
 		all.Wait()
 	}
 	countLost := func(link *testlink.Link, call func(within time.Duration) bool) (lost int) {
-		link.Swallow(testlink.Both)
+		link.DropEstablished(testlink.Both)
 		for range requests {
 			if !call(short) {
 				lost++
--- a/internal/adapter/fleetgrpc/convert.go
+++ b/internal/adapter/fleetgrpc/convert.go
@@ -95,28 +95,28 @@
 func (c codec) controllerToProto(p port.Controller) *fleetv1.Controller {
 	return &fleetv1.Controller{
 		Address: p.Address, Disk: p.Disk, Zone: p.Zone, Region: p.Region,
-		Incarnation: p.Incarnation, AgeMs: c.age(p.Heard),
+		Incarnation: p.Incarnation, AgeMs: c.age(p.LastSeen),
 	}
 }
 
 func (c codec) controllerFromProto(m *fleetv1.Controller) port.Controller {
 	return port.Controller{
 		Address: m.GetAddress(), Disk: m.GetDisk(), Zone: m.GetZone(), Region: m.GetRegion(),
-		Incarnation: m.GetIncarnation(), Heard: c.timeAt(m.GetAgeMs()),
+		Incarnation: m.GetIncarnation(), LastSeen: c.timeAt(m.GetAgeMs()),
 	}
 }
 
 func (c codec) gatewayToProto(g port.Gateway) *fleetv1.Gateway {
 	return &fleetv1.Gateway{
 		Address: g.Address, Zone: g.Zone, Region: g.Region, Incarnation: g.Incarnation,
-		Ready: g.Ready, AgeMs: c.age(g.Heard),
+		Ready: g.Ready, AgeMs: c.age(g.LastSeen),
 	}
 }
 
 func (c codec) gatewayFromProto(m *fleetv1.Gateway) port.Gateway {
 	return port.Gateway{
 		Address: m.GetAddress(), Zone: m.GetZone(), Region: m.GetRegion(), Incarnation: m.GetIncarnation(),
-		Ready: m.GetReady(), Heard: c.timeAt(m.GetAgeMs()),
+		Ready: m.GetReady(), LastSeen: c.timeAt(m.GetAgeMs()),
 	}
 }
 
@@ -141,11 +141,11 @@
 }
 
 func leaseToProto(l port.Lease) *fleetv1.Lease {
-	return &fleetv1.Lease{Region: l.Region, Holder: l.Holder, LeftMs: l.Left.Milliseconds(), Firm: l.Firm}
+	return &fleetv1.Lease{Region: l.Region, Holder: l.Holder, LeftMs: l.Remaining.Milliseconds(), Firm: l.HasMajority}
 }
 
 func leaseFromProto(m *fleetv1.Lease) port.Lease {
-	return port.Lease{Region: m.GetRegion(), Holder: m.GetHolder(), Left: millis(m.GetLeftMs()), Firm: m.GetFirm()}
+	return port.Lease{Region: m.GetRegion(), Holder: m.GetHolder(), Remaining: millis(m.GetLeftMs()), HasMajority: m.GetFirm()}
 }
 
 // hundredthsPerSlot converts a load's need, in slots, to the unit in which it is
@@ -174,36 +174,36 @@
 	return dispatch.Loan{Lender: m.GetLender(), Borrower: m.GetBorrower(), Endpoints: m.GetEndpoints()}
 }
 
-func (c codec) exchangeToProto(n port.News) *fleetv1.ExchangeRequest {
+func (c codec) exchangeToProto(n port.ExchangeRequest) *fleetv1.ExchangeRequest {
 	return &fleetv1.ExchangeRequest{
 		From: c.controllerToProto(n.From), Controllers: convertAll(n.Controllers, c.controllerToProto),
 		Gateways: convertAll(n.Gateways, c.gatewayToProto), Endpoints: convertAll(n.Endpoints, c.endpointToProto),
-		Asks: n.Asks, Drops: n.Drops, Whole: n.Whole,
+		Asks: n.VoteRequests, Drops: n.VoteReleases, Whole: n.FullSync,
 		Loads: convertAll(n.Loads, loadToProto), Loans: convertAll(n.Loans, loanToProto),
 	}
 }
 
-func (c codec) exchangeFromProto(m *fleetv1.ExchangeRequest) port.News {
-	return port.News{
+func (c codec) exchangeFromProto(m *fleetv1.ExchangeRequest) port.ExchangeRequest {
+	return port.ExchangeRequest{
 		From: c.controllerFromProto(m.GetFrom()), Controllers: convertAll(m.GetControllers(), c.controllerFromProto),
 		Gateways: convertAll(m.GetGateways(), c.gatewayFromProto), Endpoints: convertAll(m.GetEndpoints(), c.endpointFromProto),
-		Asks: m.GetAsks(), Drops: m.GetDrops(), Whole: m.GetWhole(),
+		VoteRequests: m.GetAsks(), VoteReleases: m.GetDrops(), FullSync: m.GetWhole(),
 		Loads: convertAll(m.GetLoads(), loadFromProto), Loans: convertAll(m.GetLoans(), loanFromProto),
 	}
 }
 
-func (c codec) exchangeReplyToProto(r port.NewsReply) *fleetv1.ExchangeResponse {
+func (c codec) exchangeReplyToProto(r port.ExchangeReply) *fleetv1.ExchangeResponse {
 	return &fleetv1.ExchangeResponse{
 		From: c.controllerToProto(r.From), Epoch: epochToProto(r.Epoch), Accepted: ballotToProto(r.Accepted),
-		Grants: r.Grants, Known: convertAll(r.Known, leaseToProto),
+		Grants: r.Grants, Known: convertAll(r.HeldLeases, leaseToProto),
 		Controllers: convertAll(r.Controllers, c.controllerToProto), Endpoints: convertAll(r.Endpoints, c.endpointToProto),
 	}
 }
 
-func (c codec) exchangeReplyFromProto(m *fleetv1.ExchangeResponse) port.NewsReply {
-	return port.NewsReply{
+func (c codec) exchangeReplyFromProto(m *fleetv1.ExchangeResponse) port.ExchangeReply {
+	return port.ExchangeReply{
 		From: c.controllerFromProto(m.GetFrom()), Epoch: epochFromProto(m.GetEpoch()),
-		Accepted: ballotFromProto(m.GetAccepted()), Grants: m.GetGrants(), Known: convertAll(m.GetKnown(), leaseFromProto),
+		Accepted: ballotFromProto(m.GetAccepted()), Grants: m.GetGrants(), HeldLeases: convertAll(m.GetKnown(), leaseFromProto),
 		Controllers: convertAll(m.GetControllers(), c.controllerFromProto),
 		Endpoints:   convertAll(m.GetEndpoints(), c.endpointFromProto),
 	}
@@ -217,7 +217,7 @@
 	return port.WatchCursor{Incarnation: m.GetIncarnation(), Sequence: m.GetSequence()}
 }
 
-func (c codec) slotRequestToProto(a port.AskSlot) *fleetv1.AcquireRequest {
+func (c codec) slotRequestToProto(a port.SlotRequest) *fleetv1.AcquireRequest {
 	return &fleetv1.AcquireRequest{
 		Id: a.ID, Gateway: a.Gateway, Region: a.Region, Service: a.Service, Priority: int32(a.Priority),
 		Affinity: a.Affinity, Zone: a.Zone, TargetMs: a.Target.Milliseconds(), DeadlineMs: -c.age(a.Deadline),
@@ -225,8 +225,8 @@
 	}
 }
 
-func (c codec) slotRequestFromProto(m *fleetv1.AcquireRequest) port.AskSlot {
-	return port.AskSlot{
+func (c codec) slotRequestFromProto(m *fleetv1.AcquireRequest) port.SlotRequest {
+	return port.SlotRequest{
 		Region: m.GetRegion(),
 		SlotRequest: dispatch.SlotRequest{
 			ID: m.GetId(), Gateway: m.GetGateway(), Service: m.GetService(), Priority: int(m.GetPriority()),
--- a/internal/adapter/metrics/meter.go
+++ b/internal/adapter/metrics/meter.go
@@ -61,8 +61,8 @@
 	return gometrics.NewHistogram(gometrics.NewExpDecaySample(sampleSize, sampleAlpha))
 }
 
-// Request implements port.Meter.
-func (m *Meter) Request(service string, v verdict.Verdict, reason verdict.Reason, took time.Duration) {
+// RecordRequest implements port.Meter.
+func (m *Meter) RecordRequest(service string, v verdict.Verdict, reason verdict.Reason, took time.Duration) {
 	m.observe("request.latency_us."+service, took.Microseconds())
 	m.count("request.verdict." + v.String())
 	if reason != "" {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Group implements port.Meter.
-func (m *Meter) Group(service, place string, slots, busy, queued int) {
+// SetGroup implements port.Meter.
+func (m *Meter) SetGroup(service, place string, slots, busy, queued int) {
 	name := service + "." + place
 	m.set("group.slots."+name, int64(slots))
 	m.set("group.busy."+name, int64(busy))
@@ -79,30 +79,30 @@
 	m.set("group.headroom."+name, int64(max(0, slots-busy)))
 }
 
-// Version implements port.Meter.
-func (m *Meter) Version(version uint64) { m.set("document.version", int64(version)) }
+// SetVersion implements port.Meter.
+func (m *Meter) SetVersion(version uint64) { m.set("document.version", int64(version)) }
 
-// Moved implements port.Meter.
-func (m *Meter) Moved(rule string) {
+// RecordCrossing implements port.Meter.
+func (m *Meter) RecordCrossing(rule string) {
 	gometrics.GetOrRegisterMeter("cap.moved."+rule, m.registry).Mark(1)
 }
 
-// Quarantined implements port.Meter.
-func (m *Meter) Quarantined(count int) { m.set("quarantine.fingerprints", int64(count)) }
+// SetQuarantined implements port.Meter.
+func (m *Meter) SetQuarantined(count int) { m.set("quarantine.fingerprints", int64(count)) }
 
-// Drained implements port.Meter.
-func (m *Meter) Drained(took time.Duration) { m.set("stop.drain_ms", took.Milliseconds()) }
+// RecordDrain implements port.Meter.
+func (m *Meter) RecordDrain(took time.Duration) { m.set("stop.drain_ms", took.Milliseconds()) }
 
-// Slot implements port.FleetMeter.
-func (m *Meter) Slot(service string, waited time.Duration, tries int) {
+// RecordSlot implements port.FleetMeter.
+func (m *Meter) RecordSlot(service string, waited time.Duration, tries int) {
 	m.observe("slot.waited_us."+service, waited.Microseconds())
 	if tries > 1 {
 		gometrics.GetOrRegisterCounter("request.resent."+service, m.registry).Inc(int64(tries - 1))
 	}
 }
 
-// Decided implements port.FleetMeter.
-func (m *Meter) Decided(service, reason string) {
+// RecordDecision implements port.FleetMeter.
+func (m *Meter) RecordDecision(service, reason string) {
 	if reason == "" {
 		m.count("dispatch.granted." + service)
 		return
@@ -110,14 +110,14 @@
 	m.count("dispatch.refused." + reason + "." + service)
 }
 
-// Ordered implements port.FleetMeter.
-func (m *Meter) Ordered(accepted bool, took time.Duration) {
+// RecordOrder implements port.FleetMeter.
+func (m *Meter) RecordOrder(accepted bool, took time.Duration) {
 	m.observe("order.latency_us", took.Microseconds())
 	m.count("order." + outcome(accepted))
 }
 
-// Announced implements port.FleetMeter.
-func (m *Meter) Announced(leaving, accepted bool) {
+// RecordAnnouncement implements port.FleetMeter.
+func (m *Meter) RecordAnnouncement(leaving, accepted bool) {
 	if leaving {
 		m.count("endpoint.leaving." + outcome(accepted))
 		return
--- a/internal/adapter/operatorhttp/contract_test.go
+++ b/internal/adapter/operatorhttp/contract_test.go
@@ -114,7 +114,7 @@
 func TestContractRefused(t *testing.T) {
 	drain := `{"place":"norte-a","reason":"repair"}`
 	noQuorum := func(s *porttest.Store) { s.NoQuorum = true }
-	lost := func(s *porttest.Store) { s.LoseAnswers = 1 }
+	lost := func(s *porttest.Store) { s.LoseResponses = 1 }
 	fails := func(err error) func(*porttest.Store) {
 		return func(s *porttest.Store) { s.SubmitErr = err }
 	}
@@ -213,7 +213,7 @@
 func TestResendAfterLostResponse(t *testing.T) {
 	is := is.New(t)
 	store, h := startWithDemo(t)
-	store.LoseAnswers = 1
+	store.LoseResponses = 1
 	drain := `{"place":"norte-a","reason":"repair"}`
 	is.Equal(call(h, "POST", "/v1/drains", token, "d1", drain).Code, http.StatusGatewayTimeout)
 	is.Equal(call(h, "POST", "/v1/drains", token, "d1", drain).Code, http.StatusOK)
--- a/internal/adapter/peergrpc/client.go
+++ b/internal/adapter/peergrpc/client.go
@@ -126,7 +126,7 @@
 // response's Rest is not nil, the caller must close it.
 func (c *Client) Forward(ctx context.Context, address string, f port.Forward) (*port.Response, error) {
 	required := requireRecent
-	if f.Fresh {
+	if f.NewConnection {
 		required = requireNew
 	}
 	conn, err := c.conns.get(ctx, address, required)
--- a/internal/adapter/peergrpc/control.go
+++ b/internal/adapter/peergrpc/control.go
@@ -60,5 +60,5 @@
 			Quarantined: report.Quarantined,
 		}
 	}
-	return &registerv1.FetchRequest{HaveVersion: q.Have, Entries: entries}
+	return &registerv1.FetchRequest{HaveVersion: q.CurrentVersion, Entries: entries}
 }
--- a/internal/adapter/peergrpc/peer_test.go
+++ b/internal/adapter/peergrpc/peer_test.go
@@ -253,16 +253,16 @@
 	send := func(fresh bool) error {
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
-		_, err := client.Forward(ctx, link.Addr(), port.Forward{Hop: port.HopOwner, Request: request(true), Fresh: fresh})
+		_, err := client.Forward(ctx, link.Addr(), port.Forward{Hop: port.HopOwner, Request: request(true), NewConnection: fresh})
 		return err
 	}
 	is.NoErr(send(false))
-	link.Swallow(testlink.Both)
+	link.DropEstablished(testlink.Both)
 	is.Equal(verdict.Of(send(false)), verdict.MayHaveRun) // a recent success, but bytes are lost now
 	is.NoErr(send(false))                                 // the unresponsive connection was dropped
-	link.Swallow(testlink.Both)
+	link.DropEstablished(testlink.Both)
 	is.NoErr(send(true)) // a new connection works at once
-	link.Swallow(testlink.Both)
+	link.DropEstablished(testlink.Both)
 	time.Sleep(1100 * time.Millisecond)
 	is.NoErr(send(false)) // no success for a second: replaced before use
 	is.Equal(ran.Load(), int64(4))
--- a/internal/adapter/registergrpc/message.go
+++ b/internal/adapter/registergrpc/message.go
@@ -15,8 +15,8 @@
 	Incarnation uint64
 }
 
-// Fetched is the answer to an entry VM that fetches the document.
-type Fetched struct {
+// FetchAnswer is the answer to an entry VM that fetches the document.
+type FetchAnswer struct {
 	// Config is the newest known configuration; its document is empty when the
 	// entry VM already has it.
 	Config port.Config
--- a/internal/adapter/registergrpc/server.go
+++ b/internal/adapter/registergrpc/server.go
@@ -38,7 +38,7 @@
 	// Lift ends the quarantine of a fingerprint.
 	Lift(operator, fingerprint string)
 	// Fetch stores the reports of entry VMs and returns the newest known document.
-	Fetch(haveVersion uint64, reports []EntryReport) (Fetched, error)
+	Fetch(haveVersion uint64, reports []EntryReport) (FetchAnswer, error)
 }
 
 // Server serves RegisterService and ConfigService for a member of one group.
--- a/internal/app/control/entries.go
+++ b/internal/app/control/entries.go
@@ -112,13 +112,13 @@
 // Fetch implements registergrpc.Member. It stores the reports and returns the
 // committed document that this member knows, without its text when the caller has
 // that version or a newer one.
-func (n *Node) Fetch(haveVersion uint64, reports []registergrpc.EntryReport) (registergrpc.Fetched, error) {
+func (n *Node) Fetch(haveVersion uint64, reports []registergrpc.EntryReport) (registergrpc.FetchAnswer, error) {
 	if err := n.failure(); err != nil {
-		return registergrpc.Fetched{}, err
+		return registergrpc.FetchAnswer{}, err
 	}
 	now := n.clock.Now()
 	n.tables.put(now, reports)
-	out := registergrpc.Fetched{Config: n.committed(), Lifted: n.tables.recentLifts(now)}
+	out := registergrpc.FetchAnswer{Config: n.committed(), Lifted: n.tables.recentLifts(now)}
 	if out.Config.Version <= haveVersion {
 		out.Config.Document = nil
 	}
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -62,7 +62,7 @@
 	}
 	n.acceptor.FoundGroup(founders)
 	if n.saveBoth() == nil {
-		event.Log(context.Background(), n.logger, event.VotesFresh)
+		event.Log(context.Background(), n.logger, event.GroupFounded)
 	}
 }
 
--- a/internal/app/controller/cluster_test.go
+++ b/internal/app/controller/cluster_test.go
@@ -140,22 +140,22 @@
 	return err
 }
 
-func (l link) Exchange(ctx context.Context, n port.News) (port.NewsReply, error) {
-	return call(ctx, l, func(c *controller.Controller) (port.NewsReply, error) { return c.Exchange(ctx, n) })
+func (l link) Exchange(ctx context.Context, n port.ExchangeRequest) (port.ExchangeReply, error) {
+	return call(ctx, l, func(c *controller.Controller) (port.ExchangeReply, error) { return c.Exchange(ctx, n) })
 }
 
 func (l link) Order(ctx context.Context, o fleet.Order) (port.OrderReply, error) {
 	return call(ctx, l, func(c *controller.Controller) (port.OrderReply, error) { return c.Order(ctx, o) })
 }
 
-func (c *cluster) start(address string, founding bool) {
+func (c *cluster) start(address string, bootstrap bool) {
 	m := c.members[address]
 	logs := io.Discard
 	if os.Getenv("CLUSTER_LOG") != "" {
 		logs = os.Stderr
 	}
 	made, err := controller.New(controller.Config{
-		Name: m.name, Address: address, Zone: m.zone, Region: m.region, Zones: regions, Seeds: c.seeds, Founding: founding,
+		Name: m.name, Address: address, Zone: m.zone, Region: m.region, Zones: regions, Seeds: c.seeds, Bootstrap: bootstrap,
 	}, controller.Ports{
 		Clock:  port.ClockFunc(time.Now),
 		Logger: slog.New(slog.NewTextHandler(logs, nil)).With("at", address),
--- a/internal/app/controller/confirm.go
+++ b/internal/app/controller/confirm.go
@@ -99,7 +99,7 @@
 	}
 	for _, v := range c.epoch.Voters {
 		p := c.peers[v.Address]
-		if p != nil && live(now, p.Heard) && p.Disk == v.ID && !c.notLater(p.epoch, p.accepted) {
+		if p != nil && live(now, p.LastSeen) && p.Disk == v.ID && !c.notLater(p.epoch, p.accepted) {
 			return true
 		}
 	}
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -54,8 +54,8 @@
 	// MaxShift bounds the share of a region's requests that may change the
 	// region in which they run from one window to the next; 0 sets no bound.
 	MaxShift float64
-	// Founding is set when the system starts for the first time.
-	Founding bool
+	// Bootstrap is set when the system starts for the first time.
+	Bootstrap bool
 }
 
 // Ports are the external dependencies of a controller.
@@ -151,21 +151,21 @@
 func (c *Controller) loadEpoch() {
 	s := c.voter.savedState()
 	c.epoch = s.Epoch
-	if c.epoch.Number == 0 && c.config.Founding {
+	if c.epoch.Number == 0 && c.config.Bootstrap {
 		c.epoch = quorum.Founding(c.config.Seeds)
 	}
 	event.Log(context.Background(), c.ports.Logger, event.VoterStarted,
 		slog.String("disk", s.ID), slog.Uint64("epoch", c.epoch.Number), slog.Int("voters", len(c.epoch.Voters)),
-		slog.Bool("founding", c.config.Founding))
+		slog.Bool("founding", c.config.Bootstrap))
 }
 
 // Run runs the periodic tasks until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	var group sync.WaitGroup
-	group.Go(func() { wait.Each(ctx, exchangePeriod, func() { c.exchangeRound(ctx) }) })
-	group.Go(func() { wait.Each(ctx, exchangePeriod, func() { c.updateVoters(ctx) }) })
-	group.Go(func() { wait.Each(ctx, exchangePeriod, func() { c.catchUp(ctx) }) })
-	group.Go(func() { wait.Each(ctx, tickPeriod, c.tick) })
+	group.Go(func() { wait.Every(ctx, exchangePeriod, func() { c.exchangeRound(ctx) }) })
+	group.Go(func() { wait.Every(ctx, exchangePeriod, func() { c.updateVoters(ctx) }) })
+	group.Go(func() { wait.Every(ctx, exchangePeriod, func() { c.catchUp(ctx) }) })
+	group.Go(func() { wait.Every(ctx, tickPeriod, c.tick) })
 	group.Wait()
 }
 
@@ -215,7 +215,7 @@
 func (c *Controller) self(now time.Time) port.Controller {
 	return port.Controller{
 		Address: c.config.Address, Disk: c.voter.id, Zone: c.config.Zone, Region: c.config.Region,
-		Incarnation: c.incarnation, Heard: now,
+		Incarnation: c.incarnation, LastSeen: now,
 	}
 }
 
--- a/internal/app/controller/dispatch.go
+++ b/internal/app/controller/dispatch.go
@@ -171,7 +171,7 @@
 	}
 	best := c.self(now)
 	for _, p := range c.peers {
-		if live(now, p.Heard) && lease.Precedes(r.name, p.Region, p.Address, best.Region, best.Address) {
+		if live(now, p.LastSeen) && lease.Precedes(r.name, p.Region, p.Address, best.Region, best.Address) {
 			best = p.Controller
 		}
 	}
@@ -217,7 +217,7 @@
 	var out []port.Lease
 	for _, r := range c.regions {
 		if r.pool != nil && r.holder == c.config.Address && now.Before(r.until) {
-			out = append(out, port.Lease{Region: r.name, Holder: c.config.Address, Left: r.until.Sub(now), Firm: true})
+			out = append(out, port.Lease{Region: r.name, Holder: c.config.Address, Remaining: r.until.Sub(now), HasMajority: true})
 		}
 	}
 	return out
@@ -233,7 +233,7 @@
 		r.holder = l.Holder
 		c.notifyChanged()
 	}
-	r.until = c.ports.Clock.Now().Add(l.Left)
+	r.until = c.ports.Clock.Now().Add(l.Remaining)
 }
 
 // knownLeases returns the known leases that haven't ended. Must hold mu.
@@ -241,14 +241,14 @@
 	var out []port.Lease
 	for _, name := range sortedKeys(c.regions) {
 		if r := c.regions[name]; now.Before(r.until) {
-			out = append(out, port.Lease{Region: name, Holder: r.holder, Left: r.until.Sub(now), Firm: true})
+			out = append(out, port.Lease{Region: name, Holder: r.holder, Remaining: r.until.Sub(now), HasMajority: true})
 		}
 	}
 	return out
 }
 
 // Acquire implements port.ControllerLink.
-func (c *Controller) Acquire(ctx context.Context, a port.AskSlot) (dispatch.Decision, error) {
+func (c *Controller) Acquire(ctx context.Context, a port.SlotRequest) (dispatch.Decision, error) {
 	decision, wait, err := c.acquire(a)
 	if err != nil || wait == nil {
 		c.recordDecision(a, decision, err)
@@ -267,15 +267,15 @@
 	}
 }
 
-func (c *Controller) recordDecision(a port.AskSlot, d dispatch.Decision, err error) {
+func (c *Controller) recordDecision(a port.SlotRequest, d dispatch.Decision, err error) {
 	if err == nil {
-		c.ports.Meter.Decided(a.Service, string(d.Reason))
+		c.ports.Meter.RecordDecision(a.Service, string(d.Reason))
 	}
 }
 
 // acquire decides a request at once, or returns the channel on which the
 // decision is sent.
-func (c *Controller) acquire(a port.AskSlot) (dispatch.Decision, chan dispatch.Decision, error) {
+func (c *Controller) acquire(a port.SlotRequest) (dispatch.Decision, chan dispatch.Decision, error) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -293,7 +293,7 @@
 
 // cancel withdraws a slot request whose gateway no longer waits, and releases
 // a slot that was granted meanwhile.
-func (c *Controller) cancel(a port.AskSlot, wait chan dispatch.Decision) {
+func (c *Controller) cancel(a port.SlotRequest, wait chan dispatch.Decision) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/app/controller/dispatch_test.go
+++ b/internal/app/controller/dispatch_test.go
@@ -32,7 +32,7 @@
 	out := make(map[string]int)
 	for _, m := range c.members {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
-		update, err := m.controller.Watch(ctx, port.Gateway{Address: "g:1", Region: region, Heard: time.Now()}, port.WatchCursor{})
+		update, err := m.controller.Watch(ctx, port.Gateway{Address: "g:1", Region: region, LastSeen: time.Now()}, port.WatchCursor{})
 		cancel()
 		if err != nil {
 			continue
--- a/internal/app/controller/endpoints.go
+++ b/internal/app/controller/endpoints.go
@@ -12,29 +12,29 @@
 	"sassafrasreach/internal/port"
 )
 
-// spreadTimeout bounds the time in which an announcement that takes an
+// propagateTimeout bounds the time in which an announcement that takes an
 // endpoint out of use reaches the other controllers; endpoints wait one second
 // for the acknowledgement.
-const spreadTimeout = 800 * time.Millisecond
+const propagateTimeout = 800 * time.Millisecond
 
 // Announce records an endpoint's announcement. An announcement that the
 // endpoint leaves is sent to all live controllers at once, the dispatchers
 // among them. It is acknowledged once all these calls have ended, if a majority
-// of the voters has received it; otherwise the error wraps port.ErrUnsure.
+// of the voters has received it; otherwise the error wraps port.ErrUnconfirmed.
 func (c *Controller) Announce(ctx context.Context, e registry.Endpoint) error {
 	c.mu.Lock()
 	c.receiveAnnouncement(e)
 	c.mu.Unlock()
 	if !e.Leaving {
-		c.ports.Meter.Announced(false, true)
+		c.ports.Meter.RecordAnnouncement(false, true)
 		return nil
 	}
-	return c.spread(ctx, e.ID)
+	return c.propagate(ctx, e.ID)
 }
 
-// SignOff marks an endpoint as gone; it is acknowledged as in Announce. An
+// Deregister marks an endpoint as gone; it is acknowledged as in Announce. An
 // unknown endpoint is no error.
-func (c *Controller) SignOff(ctx context.Context, id string) error {
+func (c *Controller) Deregister(ctx context.Context, id string) error {
 	c.mu.Lock()
 	e, known := c.endpoints.Get(id)
 	if known {
@@ -45,7 +45,7 @@
 	if !known {
 		return nil
 	}
-	return c.spread(ctx, id)
+	return c.propagate(ctx, id)
 }
 
 // receiveAnnouncement records an announcement that was made to this
@@ -88,18 +88,18 @@
 	}
 }
 
-// spread sends an endpoint's state to all live controllers and waits until
+// propagate sends an endpoint's state to all live controllers and waits until
 // each call has ended.
-func (c *Controller) spread(ctx context.Context, id string) error {
-	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
+func (c *Controller) propagate(ctx context.Context, id string) error {
+	ctx, cancel := context.WithTimeout(ctx, propagateTimeout)
 	defer cancel()
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
 	e, _ := c.endpoints.Get(id)
-	exchange := port.News{From: c.self(now), Endpoints: []registry.Endpoint{e}}
+	exchange := port.ExchangeRequest{From: c.self(now), Endpoints: []registry.Endpoint{e}}
 	var targets []*peer
 	for _, p := range c.peers {
-		if live(now, p.Heard) {
+		if live(now, p.LastSeen) {
 			targets = append(targets, p)
 		}
 	}
@@ -124,11 +124,11 @@
 			count++
 		}
 	}
-	c.ports.Meter.Announced(true, count >= epoch.Majority())
+	c.ports.Meter.RecordAnnouncement(true, count >= epoch.Majority())
 	if count < epoch.Majority() {
-		event.Log(ctx, c.ports.Logger, event.LeavingUnsure, slog.String("endpoint", id),
+		event.Log(ctx, c.ports.Logger, event.LeavingUnacknowledged, slog.String("endpoint", id),
 			slog.Int("told", count), slog.Int("needed", epoch.Majority()))
-		return fmt.Errorf("%w: %d of %d required voters acknowledged the endpoint's state", port.ErrUnsure, count, epoch.Majority())
+		return fmt.Errorf("%w: %d of %d required voters acknowledged the endpoint's state", port.ErrUnconfirmed, count, epoch.Majority())
 	}
 	return nil
 }
--- a/internal/app/controller/orders.go
+++ b/internal/app/controller/orders.go
@@ -23,7 +23,7 @@
 	readTimeout = 900 * time.Millisecond
 )
 
-// Configure implements port.Orders.
+// Configure implements port.OperatorService.
 func (c *Controller) Configure(ctx context.Context, change fleet.Change) error {
 	if err := change.Config.Validate(); err != nil {
 		return err
@@ -34,7 +34,7 @@
 	return err
 }
 
-// Evacuate implements port.Orders.
+// Evacuate implements port.OperatorService.
 func (c *Controller) Evacuate(ctx context.Context, zone string, evacuated bool) error {
 	err := c.order(ctx, fleet.Order{Zone: zone, Evacuated: evacuated})
 	event.Log(ctx, c.ports.Logger, event.EvacuationOrdered, slog.String("zone", zone),
@@ -58,7 +58,7 @@
 	if err == nil && !errors.Is(reply.Refused, fleet.ErrNoChange) {
 		err = reply.Refused
 	}
-	c.ports.Meter.Ordered(err == nil, c.ports.Clock.Now().Sub(began))
+	c.ports.Meter.RecordOrder(err == nil, c.ports.Clock.Now().Sub(began))
 	return err
 }
 
@@ -122,7 +122,7 @@
 	return next, err
 }
 
-// Current implements port.Orders. It returns a state that a quorum has
+// Current implements port.OperatorService. It returns a state that a quorum has
 // confirmed since the call began.
 func (c *Controller) Current(ctx context.Context) (*fleet.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
@@ -137,7 +137,7 @@
 	}
 	reply, err := c.submit(ctx, fleet.Order{})
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", port.ErrUnsure, err)
+		return nil, fmt.Errorf("%w: %w", port.ErrUnconfirmed, err)
 	}
 	if reply.Chosen.Value == nil {
 		return &fleet.State{}, nil
--- a/internal/app/controller/peers.go
+++ b/internal/app/controller/peers.go
@@ -88,7 +88,7 @@
 	now := c.ports.Clock.Now()
 	var out []string
 	for address, p := range c.peers {
-		if live(now, p.Heard) {
+		if live(now, p.LastSeen) {
 			out = append(out, address)
 		}
 	}
@@ -105,7 +105,7 @@
 	loads, loans := c.computeShares(now)
 	type sending struct {
 		p        *peer
-		exchange port.News
+		exchange port.ExchangeRequest
 		acked    uint64
 	}
 	var sendings []sending
@@ -146,10 +146,10 @@
 		}
 	}
 	for address, p := range c.peers {
-		if now.Sub(latest(p.Heard, p.addedAt)) > peerRetention && !slices.Contains(wanted, address) {
+		if now.Sub(latest(p.LastSeen, p.addedAt)) > peerRetention && !slices.Contains(wanted, address) {
 			delete(c.peers, address)
 		}
-		if lost := !live(now, p.Heard); lost != p.lost {
+		if lost := !live(now, p.LastSeen); lost != p.lost {
 			p.lost = lost
 			c.noteMembershipChange(now)
 			e := event.ControllerFound
@@ -157,7 +157,7 @@
 				e = event.ControllerLost
 			}
 			event.Log(context.Background(), c.ports.Logger, e, slog.String("address", address),
-				slog.Int64("heard_ms_ago", now.Sub(p.Heard).Milliseconds()))
+				slog.Int64("heard_ms_ago", now.Sub(p.LastSeen).Milliseconds()))
 		}
 	}
 }
@@ -172,10 +172,10 @@
 // exchange returns the message for a peer. Its endpoints are those announced
 // here that the peer hasn't acknowledged, or all if it has acknowledged none.
 // Must hold mu.
-func (c *Controller) exchange(now time.Time, p *peer) port.News {
-	n := port.News{
+func (c *Controller) exchange(now time.Time, p *peer) port.ExchangeRequest {
+	n := port.ExchangeRequest{
 		From: c.self(now), Controllers: c.liveControllers(now), Gateways: c.ownGateways(now),
-		Asks: c.requestedRegions(now), Drops: c.releasedRegions(), Whole: p.acked == 0,
+		VoteRequests: c.requestedRegions(now), VoteReleases: c.releasedRegions(), FullSync: p.acked == 0,
 	}
 	if p.acked == 0 {
 		n.Endpoints, _ = c.endpoints.Since(0)
@@ -196,7 +196,7 @@
 func (c *Controller) liveControllers(now time.Time) []port.Controller {
 	var out []port.Controller
 	for _, p := range c.peers {
-		if live(now, p.Heard) {
+		if live(now, p.LastSeen) {
 			out = append(out, p.Controller)
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // sendExchange sends a message to a peer and records its answer.
-func (c *Controller) sendExchange(ctx context.Context, p *peer, n port.News, acked uint64) (port.NewsReply, error) {
+func (c *Controller) sendExchange(ctx context.Context, p *peer, n port.ExchangeRequest, acked uint64) (port.ExchangeReply, error) {
 	sentAt := c.ports.Clock.Now()
 	reply, err := p.link.Exchange(ctx, n)
 	c.mu.Lock()
@@ -228,7 +228,7 @@
 	for name, r := range c.regions {
 		r.candidate.RecordReply(p.Address, sentAt, slices.Contains(reply.Grants, name))
 	}
-	for _, l := range reply.Known {
+	for _, l := range reply.HeldLeases {
 		c.recordLease(l)
 	}
 	return reply, nil
@@ -245,7 +245,7 @@
 }
 
 // Exchange implements port.ControllerPeer.
-func (c *Controller) Exchange(_ context.Context, n port.News) (port.NewsReply, error) {
+func (c *Controller) Exchange(_ context.Context, n port.ExchangeRequest) (port.ExchangeReply, error) {
 	now := c.ports.Clock.Now()
 	savedState := c.voter.savedState()
 	c.mu.Lock()
@@ -258,19 +258,19 @@
 		c.learnEndpoint(e)
 	}
 	c.recordShares(now, n)
-	reply := port.NewsReply{
+	reply := port.ExchangeReply{
 		From: c.self(now), Epoch: savedState.Epoch, Accepted: savedState.Accepted.Ballot,
-		Controllers: c.liveControllers(now), Known: c.heldLeases(now),
+		Controllers: c.liveControllers(now), HeldLeases: c.heldLeases(now),
 	}
-	for _, name := range n.Drops {
+	for _, name := range n.VoteReleases {
 		c.grantedVotes.ReleaseVote(name, n.From.Address)
 	}
-	for _, name := range n.Asks {
+	for _, name := range n.VoteRequests {
 		if c.grantedVotes.RequestVote(now, name, n.From.Address) {
 			reply.Grants = append(reply.Grants, name)
 		}
 	}
-	if n.Whole {
+	if n.FullSync {
 		reply.Endpoints, _ = c.endpoints.Since(0)
 	}
 	return reply, nil
@@ -315,9 +315,9 @@
 }
 
 // poll requests the voting state of one voter.
-func (c *Controller) poll(ctx context.Context, p *peer, from port.Controller) (port.NewsReply, error) {
+func (c *Controller) poll(ctx context.Context, p *peer, from port.Controller) (port.ExchangeReply, error) {
 	sentAt := c.ports.Clock.Now()
-	reply, err := p.link.Exchange(ctx, port.News{From: from})
+	reply, err := p.link.Exchange(ctx, port.ExchangeRequest{From: from})
 	if err != nil {
 		return reply, err
 	}
--- a/internal/app/controller/propose.go
+++ b/internal/app/controller/propose.go
@@ -83,14 +83,14 @@
 }
 
 // propose makes a change durable and returns the value after it and its epoch.
-// The error wraps port.ErrUnsure or is the one that decide returned. Proposals
-// of this controller run one at a time.
+// The error wraps port.ErrUnconfirmed or is the one that decide returned.
+// Proposals of this controller run one at a time.
 func (c *Controller) propose(ctx context.Context, decide quorum.Decide) (quorum.Accepted, quorum.Epoch, error) {
 	select {
 	case c.proposing <- struct{}{}:
 		defer func() { <-c.proposing }()
 	case <-ctx.Done():
-		return quorum.Accepted{}, quorum.Epoch{}, fmt.Errorf("%w: timed out behind other proposals of this controller", port.ErrUnsure)
+		return quorum.Accepted{}, quorum.Epoch{}, fmt.Errorf("%w: timed out behind other proposals of this controller", port.ErrUnconfirmed)
 	}
 	for collisions := 0; ; collisions++ {
 		epoch, ballot, seed, have := c.nextBallot()
@@ -99,7 +99,7 @@
 			return value, epoch, err
 		}
 		if !wait.For(ctx, jitter(collisionBackoff*time.Duration(min(collisions, maxBackoffSteps)+1))) {
-			return quorum.Accepted{}, quorum.Epoch{}, fmt.Errorf("%w: %d attempts failed", port.ErrUnsure, collisions+1)
+			return quorum.Accepted{}, quorum.Epoch{}, fmt.Errorf("%w: %d attempts failed", port.ErrUnconfirmed, collisions+1)
 		}
 	}
 }
--- a/internal/app/controller/shares.go
+++ b/internal/app/controller/shares.go
@@ -91,7 +91,7 @@
 func (c *Controller) countGateways(now time.Time, region string) int {
 	n := 0
 	for _, g := range c.gateways {
-		if g.Region == region && live(now, g.Heard) {
+		if g.Region == region && live(now, g.LastSeen) {
 			n++
 		}
 	}
@@ -125,7 +125,7 @@
 
 // recordShares records the loads and loans that another controller reported of
 // the regions that it dispatches. Must hold mu.
-func (c *Controller) recordShares(now time.Time, n port.News) {
+func (c *Controller) recordShares(now time.Time, n port.ExchangeRequest) {
 	c.recordLoads(now, n.Loads)
 	lenders := make(map[string][]dispatch.Loan)
 	for _, l := range n.Loads {
--- a/internal/app/controller/voter.go
+++ b/internal/app/controller/voter.go
@@ -33,7 +33,7 @@
 	}
 	if !found {
 		state = quorum.State{ID: "disk-" + rand.Text()}
-		if config.Founding && slices.Contains(config.Seeds, config.Address) {
+		if config.Bootstrap && slices.Contains(config.Seeds, config.Address) {
 			state.ID = quorum.FounderID(config.Address)
 		}
 		if err := ports.Store.Save(state); err != nil {
--- a/internal/app/controller/voters.go
+++ b/internal/app/controller/voters.go
@@ -113,7 +113,7 @@
 	var out []quorum.Voter
 	for _, address := range sortedKeys(c.peers) {
 		p := c.peers[address]
-		if live(now, p.Heard) && p.Disk != "" && !c.epoch.Has(p.Disk) {
+		if live(now, p.LastSeen) && p.Disk != "" && !c.epoch.Has(p.Disk) {
 			out = append(out, quorum.Voter{ID: p.Disk, Address: address})
 		}
 	}
@@ -151,5 +151,5 @@
 	if p.Disk == "" {
 		return now.Sub(p.addedAt)
 	}
-	return now.Sub(p.Heard)
+	return now.Sub(p.LastSeen)
 }
--- a/internal/app/controller/watch.go
+++ b/internal/app/controller/watch.go
@@ -20,7 +20,7 @@
 func (c *Controller) Watch(ctx context.Context, g port.Gateway, since port.WatchCursor) (port.Update, error) {
 	c.mu.Lock()
 	c.learnGateway(g)
-	c.watchers[g.Address] = g.Heard
+	c.watchers[g.Address] = g.LastSeen
 	changed := c.changed
 	update := c.update(since)
 	c.mu.Unlock()
@@ -63,7 +63,7 @@
 // hold mu.
 func (c *Controller) learnGateway(g port.Gateway) {
 	old, known := c.gateways[g.Address]
-	if known && (old.Incarnation > g.Incarnation || old.Incarnation == g.Incarnation && old.Heard.After(g.Heard)) {
+	if known && (old.Incarnation > g.Incarnation || old.Incarnation == g.Incarnation && old.LastSeen.After(g.LastSeen)) {
 		return
 	}
 	c.gateways[g.Address] = g
@@ -81,7 +81,7 @@
 		out = append(out, c.gateways[address])
 	}
 	for address, g := range c.gateways {
-		if now.Sub(g.Heard) > gatewayRetention {
+		if now.Sub(g.LastSeen) > gatewayRetention {
 			delete(c.gateways, address)
 		}
 	}
@@ -106,7 +106,7 @@
 	for _, fits := range near {
 		var out []string
 		for address, g := range c.gateways {
-			if g.Ready && live(now, g.Heard) && fits(g) {
+			if g.Ready && live(now, g.LastSeen) && fits(g) {
 				out = append(out, address)
 			}
 		}
--- a/internal/app/entry/announce.go
+++ b/internal/app/entry/announce.go
@@ -198,7 +198,7 @@
 // expireLoop removes expired claims and suspects, and presumes endpoints dead
 // that broke a connection or became unresponsive.
 func (e *Entry) expireLoop(ctx context.Context) {
-	wait.Each(ctx, expirePeriod, func() {
+	wait.Every(ctx, expirePeriod, func() {
 		now := e.clock.Now()
 		e.claims.expire(now)
 		for _, endpoint := range e.suspects.expire(now) {
--- a/internal/app/entry/bootstrap.go
+++ b/internal/app/entry/bootstrap.go
@@ -32,16 +32,16 @@
 		}
 	}
 	if best.Version > 0 && e.apply(ctx, best) {
-		event.Log(ctx, e.logger, event.ServingCutOff, slog.Uint64("version", best.Version))
+		event.Log(ctx, e.logger, event.ServingWithoutQuorum, slog.Uint64("version", best.Version))
 		e.checkPlace()
 	}
 }
 
-// checkPlace closes the misplaced channel if the document in force doesn't list
-// the entry's place.
+// checkPlace closes the placeNotListed channel if the document in force doesn't
+// list the entry's place.
 func (e *Entry) checkPlace() {
 	if _, ok := e.snapshot.Load().regions[e.config.Place]; !ok {
-		close(e.misplaced)
+		close(e.placeNotListed)
 	}
 }
 
--- a/internal/app/entry/broadcast.go
+++ b/internal/app/entry/broadcast.go
@@ -91,7 +91,7 @@
 
 // broadcastLoop sends the peers the rows that they have not acknowledged.
 func (e *Entry) broadcastLoop(ctx context.Context) {
-	wait.EachOr(ctx, heartbeatPeriod, e.broadcaster.queued, func() { e.broadcastPending(ctx) })
+	wait.EveryOrOn(ctx, heartbeatPeriod, e.broadcaster.queued, func() { e.broadcastPending(ctx) })
 }
 
 // broadcastPending sends the queued rows to all live peers and to a few of the
--- a/internal/app/entry/cluster_test.go
+++ b/internal/app/entry/cluster_test.go
@@ -417,14 +417,14 @@
 	moved map[string]int
 }
 
-func (m *meterFake) Moved(rule string) {
+func (m *meterFake) RecordCrossing(rule string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.moved[rule]++
 }
 
-func (m *meterFake) Request(string, verdict.Verdict, verdict.Reason, time.Duration) {}
-func (m *meterFake) Group(string, string, int, int, int)                            {}
-func (m *meterFake) Version(uint64)                                                 {}
-func (m *meterFake) Quarantined(int)                                                {}
-func (m *meterFake) Drained(time.Duration)                                          {}
+func (m *meterFake) RecordRequest(string, verdict.Verdict, verdict.Reason, time.Duration) {}
+func (m *meterFake) SetGroup(string, string, int, int, int)                               {}
+func (m *meterFake) SetVersion(uint64)                                                    {}
+func (m *meterFake) SetQuarantined(int)                                                   {}
+func (m *meterFake) RecordDrain(time.Duration)                                            {}
--- a/internal/app/entry/crossing.go
+++ b/internal/app/entry/crossing.go
@@ -101,7 +101,7 @@
 	}
 	g.reservation.Store(reservation)
 	for _, rule := range g.crossing.charge.Rules {
-		e.meter.Moved(rule)
+		e.meter.RecordCrossing(rule)
 	}
 	return nil
 }
--- a/internal/app/entry/doc.go
+++ b/internal/app/entry/doc.go
@@ -13,7 +13,7 @@
 //   - Group: the endpoints of one service in one place. Its owner is the entry that
 //     admits requests to them; the owner's backup takes over when the owner is lost.
 //   - Once-only request: a request that must not run twice. It carries a key.
-//   - Coordinator of a key: the entry incarnation that the key names (claims.Home).
+//   - Coordinator of a key: the entry incarnation that the key names (claims.Coordinator).
 //     It alone may start the request, and it stores the outcome as a claim.
 //   - Attempt: one try of a request, at an endpoint or through another entry. A run
 //     is an attempt that holds a slot of an endpoint.
--- a/internal/app/entry/endpoint_death.go
+++ b/internal/app/entry/endpoint_death.go
@@ -114,7 +114,7 @@
 // meterQuarantined reports the number of fingerprints in quarantine to the
 // meter.
 func (e *Entry) meterQuarantined() {
-	e.meter.Quarantined(len(e.suspects.list(e.clock.Now())))
+	e.meter.SetQuarantined(len(e.suspects.list(e.clock.Now())))
 }
 
 func (e *Entry) logQuarantineChange(change quarantine.Change) {
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -74,12 +74,12 @@
 	retries     *retryBudget
 	outbox      *outbox
 
-	calls        *workers.Pool
-	controls     *workers.Pool
-	heartbeatNow chan struct{}
-	misplaced    chan struct{} // closed when the first document doesn't list this entry's place
-	stopping     atomic.Bool
-	inFlight     atomic.Int64
+	calls          *workers.Pool
+	controls       *workers.Pool
+	heartbeatNow   chan struct{}
+	placeNotListed chan struct{} // closed when the first document doesn't list this entry's place
+	stopping       atomic.Bool
+	inFlight       atomic.Int64
 }
 
 var (
@@ -93,26 +93,26 @@
 	now := ports.Clock.Now()
 	self := claims.Coordinator{Entry: config.Name, Incarnation: config.Incarnation}
 	return &Entry{
-		config:       config,
-		clock:        ports.Clock,
-		logger:       ports.Logger,
-		peers:        ports.Peers,
-		control:      ports.Control,
-		endpoints:    ports.Endpoints,
-		meter:        ports.Meter,
-		members:      newMembers(config),
-		groups:       newGroups(),
-		ledger:       newLedger(config, now),
-		claims:       newClaimTable(self),
-		suspects:     newSuspects(),
-		broadcaster:  newBroadcaster(),
-		attempts:     newAttempts(),
-		retries:      newRetryBudget(),
-		outbox:       newOutbox(),
-		calls:        workers.New(callWorkers),
-		controls:     workers.New(controlWorkers),
-		heartbeatNow: make(chan struct{}, 1),
-		misplaced:    make(chan struct{}),
+		config:         config,
+		clock:          ports.Clock,
+		logger:         ports.Logger,
+		peers:          ports.Peers,
+		control:        ports.Control,
+		endpoints:      ports.Endpoints,
+		meter:          ports.Meter,
+		members:        newMembers(config),
+		groups:         newGroups(),
+		ledger:         newLedger(config, now),
+		claims:         newClaimTable(self),
+		suspects:       newSuspects(),
+		broadcaster:    newBroadcaster(),
+		attempts:       newAttempts(),
+		retries:        newRetryBudget(),
+		outbox:         newOutbox(),
+		calls:          workers.New(callWorkers),
+		controls:       workers.New(controlWorkers),
+		heartbeatNow:   make(chan struct{}, 1),
+		placeNotListed: make(chan struct{}),
 	}
 }
 
@@ -131,9 +131,9 @@
 	e.controls.Close()
 }
 
-// Misplaced returns a channel that is closed when the first document of this
-// process doesn't list the entry's place.
-func (e *Entry) Misplaced() <-chan struct{} { return e.misplaced }
+// PlaceNotListed returns a channel that is closed when the first document of
+// this process doesn't list the entry's place.
+func (e *Entry) PlaceNotListed() <-chan struct{} { return e.placeNotListed }
 
 // Ready reports whether callers may be sent to this entry; if not, why gives
 // the reason.
--- a/internal/app/entry/ledger.go
+++ b/internal/app/entry/ledger.go
@@ -87,7 +87,7 @@
 // insufficient, and updates the document versions of the others in the ledger.
 func (e *Entry) loanLoop(ctx context.Context) {
 	var updated time.Time
-	wait.Each(ctx, loanPeriod, func() {
+	wait.Every(ctx, loanPeriod, func() {
 		now := e.clock.Now()
 		if now.Sub(updated) >= versionsPeriod {
 			updated = now
--- a/internal/app/entry/lookup.go
+++ b/internal/app/entry/lookup.go
@@ -38,7 +38,7 @@
 		Place:     origin,
 		TTLMillis: lookupTTL.Milliseconds(),
 		Version:   s.config.Version,
-		Home:      e.keyToken(ranked[0]),
+		KeyPrefix: e.keyToken(ranked[0]),
 	}
 	for _, member := range ranked {
 		address := s.entries[member.Name]
--- a/internal/app/entry/members.go
+++ b/internal/app/entry/members.go
@@ -144,7 +144,7 @@
 		e.logMembershipChanges(ctx, &seen, e.clock.Now())
 	}
 	sendHeartbeats()
-	wait.EachOr(ctx, heartbeatPeriod, e.heartbeatNow, sendHeartbeats)
+	wait.EveryOrOn(ctx, heartbeatPeriod, e.heartbeatNow, sendHeartbeats)
 }
 
 // wakeHeartbeat makes the next heartbeat due at once.
@@ -194,7 +194,7 @@
 			continue
 		}
 		stats := g.stats(now)
-		e.meter.Group(g.key.service, g.key.place, stats.Slots, stats.Busy, stats.Queued)
+		e.meter.SetGroup(g.key.service, g.key.place, stats.Slots, stats.Busy, stats.Queued)
 		rows = append(rows, membership.GroupRow{
 			Service:   g.key.service,
 			Place:     g.key.place,
--- a/internal/app/entry/once.go
+++ b/internal/app/entry/once.go
@@ -98,7 +98,7 @@
 // ran, so without those claims the verdict is MayHaveRun.
 func (e *Entry) forwardToCoordinator(ctx context.Context, req *port.Request, key claims.Key) (*port.Response, error) {
 	if address, ok := e.coordinatorAddress(e.clock.Now(), key.Coordinator); ok {
-		response, err := e.forward(ctx, address, port.Forward{Hop: port.HopHome, Request: req})
+		response, err := e.forward(ctx, address, port.Forward{Hop: port.HopCoordinator, Request: req})
 		if !errors.Is(err, port.ErrPeerUnreachable) {
 			return response, err
 		}
@@ -135,7 +135,7 @@
 		if !known || member.Name == e.config.Name {
 			continue
 		}
-		response, err := e.forward(ctx, address.peer, port.Forward{Hop: port.HopHome, Request: req})
+		response, err := e.forward(ctx, address.peer, port.Forward{Hop: port.HopCoordinator, Request: req})
 		if !lacksKeyRecord(err) {
 			return response, err
 		}
--- a/internal/app/entry/pull.go
+++ b/internal/app/entry/pull.go
@@ -41,7 +41,7 @@
 func (e *Entry) pullLoop(ctx context.Context) {
 	e.pull.started = e.clock.Now()
 	e.pullOnce(ctx)
-	wait.Each(ctx, pullPeriod, func() { e.pullOnce(ctx) })
+	wait.Every(ctx, pullPeriod, func() { e.pullOnce(ctx) })
 }
 
 func (e *Entry) pullOnce(ctx context.Context) {
@@ -88,7 +88,7 @@
 // pullFromControl queries one control VM, and the next ones until an answer is
 // confirmed by a quorum. Each query reports the entries of this place.
 func (e *Entry) pullFromControl(ctx context.Context) {
-	query := port.FetchQuery{Have: e.version(), Entries: e.reports(e.clock.Now())}
+	query := port.FetchQuery{CurrentVersion: e.version(), Entries: e.reports(e.clock.Now())}
 	for range e.config.Control {
 		address := e.config.Control[e.pull.next%len(e.config.Control)]
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
@@ -160,7 +160,7 @@
 	for _, g := range e.groups.all() {
 		g.configure(e.admissionConfig(g.key))
 	}
-	e.meter.Version(config.Version)
+	e.meter.SetVersion(config.Version)
 	event.Log(ctx, e.logger, event.DocumentApplied,
 		slog.Uint64("version", config.Version), slog.String("digest", config.Digest))
 	if s.entries[e.config.Name].place != e.config.Place {
--- a/internal/app/entry/route.go
+++ b/internal/app/entry/route.go
@@ -154,7 +154,7 @@
 func newOwnerForward(req *port.Request, key groupKey, fresh bool) port.Forward {
 	attempt := *req
 	attempt.ID = cryptorand.Text()
-	return port.Forward{Hop: port.HopOwner, Place: key.place, Request: &attempt, Fresh: fresh}
+	return port.Forward{Hop: port.HopOwner, Place: key.place, Request: &attempt, NewConnection: fresh}
 }
 
 // forwardHedgeFactor is the number of hedge delays that the forwarding entry
--- a/internal/app/entry/serve.go
+++ b/internal/app/entry/serve.go
@@ -15,7 +15,7 @@
 	defer e.inFlight.Add(-1)
 	start := e.clock.Now()
 	response, err := e.serve(ctx, req)
-	e.meter.Request(req.Service, verdict.Of(err), reasonFor(err), e.clock.Now().Sub(start))
+	e.meter.RecordRequest(req.Service, verdict.Of(err), reasonFor(err), e.clock.Now().Sub(start))
 	return response, err
 }
 
@@ -42,7 +42,7 @@
 		return nil, keyedRefusal(f.Request, err)
 	}
 	switch f.Hop {
-	case port.HopHome:
+	case port.HopCoordinator:
 		return e.serveOnce(ctx, f.Request, false)
 	case port.HopOwner:
 		return e.handleOwner(ctx, f)
--- a/internal/app/entry/stop.go
+++ b/internal/app/entry/stop.go
@@ -41,7 +41,7 @@
 	}
 	e.claims.seal()
 	e.handOver(ctx)
-	e.meter.Drained(e.clock.Now().Sub(start))
+	e.meter.RecordDrain(e.clock.Now().Sub(start))
 	return e.inFlight.Load()
 }
 
--- a/internal/app/gateway/locate.go
+++ b/internal/app/gateway/locate.go
@@ -72,7 +72,7 @@
 		}
 	}
 	g.skipUntil[address] = g.ports.Clock.Now().Add(unresponsiveFor)
-	event.Log(context.Background(), g.ports.Logger, event.ControllerDeaf,
+	event.Log(context.Background(), g.ports.Logger, event.ControllerUnresponsive,
 		slog.String("controller", address), slog.String("why", err.Error()))
 }
 
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -235,17 +235,17 @@
 // gateway's own, or a random home region of the route if the request may not
 // run in its own.
 func (x *inFlightRequest) chooseDispatchRegion() string {
-	homes := x.route.Regions
-	if len(homes) == 0 || slices.Contains(homes, x.gateway.config.Region) {
+	regions := x.route.Regions
+	if len(regions) == 0 || slices.Contains(regions, x.gateway.config.Region) {
 		return x.gateway.config.Region
 	}
-	return homes[rand.IntN(len(homes))]
+	return regions[rand.IntN(len(regions))]
 }
 
 // acquireInRegion requests a slot from the known dispatcher of a region and
 // then, if there is none or it fails, from the controllers in the order in
 // which they would dispatch the region.
-func (x *inFlightRequest) acquireInRegion(ctx context.Context, request port.AskSlot) (dispatch.Decision, string, error) {
+func (x *inFlightRequest) acquireInRegion(ctx context.Context, request port.SlotRequest) (dispatch.Decision, string, error) {
 	g := x.gateway
 	err := fmt.Errorf("%w: no responsive controller is known for region %q", port.ErrNotDispatcher, request.Region)
 	for _, address := range g.dispatchersOf(request.Region) {
@@ -262,7 +262,7 @@
 	return dispatch.Decision{}, "", err
 }
 
-func (g *Gateway) acquireFrom(ctx context.Context, address string, request port.AskSlot) (dispatch.Decision, error) {
+func (g *Gateway) acquireFrom(ctx context.Context, address string, request port.SlotRequest) (dispatch.Decision, error) {
 	link, err := g.link(address)
 	if err != nil {
 		return dispatch.Decision{}, err
@@ -272,10 +272,10 @@
 	return link.Acquire(ctx, request)
 }
 
-func (x *inFlightRequest) slotRequest() port.AskSlot {
+func (x *inFlightRequest) slotRequest() port.SlotRequest {
 	g := x.gateway
 	incarnation := fmt.Sprintf("%s/%d", g.config.Name, g.incarnation)
-	slotRequest := port.AskSlot{
+	slotRequest := port.SlotRequest{
 		Region: x.dispatchRegion,
 		SlotRequest: dispatch.SlotRequest{
 			ID: fmt.Sprintf("%s/%d", incarnation, g.serial.Add(1)), Gateway: incarnation, Service: x.service,
@@ -303,11 +303,11 @@
 func (x *inFlightRequest) recordMetrics(a port.ClientAnswer) {
 	took := x.gateway.ports.Clock.Now().Sub(x.began)
 	if a.Err == nil {
-		x.gateway.ports.Meter.Request(x.service, verdict.Ran, "", took)
+		x.gateway.ports.Meter.RecordRequest(x.service, verdict.Ran, "", took)
 	} else {
-		x.gateway.ports.Meter.Request(x.service, verdict.Of(a.Err), verdict.ReasonOf(a.Err), took)
+		x.gateway.ports.Meter.RecordRequest(x.service, verdict.Of(a.Err), verdict.ReasonOf(a.Err), took)
 	}
-	x.gateway.ports.Meter.Slot(x.service, x.waited, x.tries)
+	x.gateway.ports.Meter.RecordSlot(x.service, x.waited, x.tries)
 }
 
 // log logs the result of a request.
--- a/internal/app/gateway/serve_test.go
+++ b/internal/app/gateway/serve_test.go
@@ -27,13 +27,13 @@
 	mu       sync.Mutex
 	grants   int
 	released []port.SlotRelease
-	answer   func(a port.AskSlot) (dispatch.Decision, error)
+	answer   func(a port.SlotRequest) (dispatch.Decision, error)
 }
 
 func (c *fakeController) Watch(ctx context.Context, _ port.Gateway, since port.WatchCursor) (port.Update, error) {
 	u := port.Update{
 		Confirmed: time.Now(), Sequence: 1, Cursor: port.WatchCursor{Incarnation: 1, Sequence: 1},
-		Dispatchers: []port.Lease{{Region: "east", Holder: "c:1", Left: time.Minute, Firm: true}},
+		Dispatchers: []port.Lease{{Region: "east", Holder: "c:1", Remaining: time.Minute, HasMajority: true}},
 		Controllers: []port.Controller{{Address: "c:1", Zone: "east-1", Region: "east"}},
 	}
 	if since.Sequence == 0 {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (c *fakeController) Acquire(_ context.Context, a port.AskSlot) (dispatch.Decision, error) {
+func (c *fakeController) Acquire(_ context.Context, a port.SlotRequest) (dispatch.Decision, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.answer != nil {
@@ -138,7 +138,7 @@
 	is := is.New(t)
 	timeouts := 1
 	c := &fakeController{}
-	c.answer = func(port.AskSlot) (dispatch.Decision, error) {
+	c.answer = func(port.SlotRequest) (dispatch.Decision, error) {
 		if timeouts > 0 {
 			timeouts--
 			return dispatch.Decision{}, context.DeadlineExceeded
@@ -211,14 +211,14 @@
 // TestNoSlot guards against a request without a slot that is sent all the
 // same, or whose answer lacks the verdict that it didn't run or a retry delay.
 func TestNoSlot(t *testing.T) {
-	cases := map[string]func(port.AskSlot) (dispatch.Decision, error){
-		"refused": func(port.AskSlot) (dispatch.Decision, error) {
+	cases := map[string]func(port.SlotRequest) (dispatch.Decision, error){
+		"refused": func(port.SlotRequest) (dispatch.Decision, error) {
 			return dispatch.Decision{Reason: dispatch.ReasonOverload, RetryAfter: time.Second}, nil
 		},
-		"no dispatcher": func(port.AskSlot) (dispatch.Decision, error) {
+		"no dispatcher": func(port.SlotRequest) (dispatch.Decision, error) {
 			return dispatch.Decision{}, port.ErrNotDispatcher
 		},
-		"unreachable": func(port.AskSlot) (dispatch.Decision, error) {
+		"unreachable": func(port.SlotRequest) (dispatch.Decision, error) {
 			return dispatch.Decision{}, errors.New("unreachable")
 		},
 	}
@@ -240,7 +240,7 @@
 func TestRetryBudgetUsedUp(t *testing.T) {
 	is := is.New(t)
 	c := &fakeController{}
-	c.answer = func(a port.AskSlot) (dispatch.Decision, error) {
+	c.answer = func(a port.SlotRequest) (dispatch.Decision, error) {
 		if a.Retry {
 			return dispatch.Decision{Reason: dispatch.ReasonRetryBudget, RetryAfter: time.Second}, nil
 		}
--- a/internal/app/gateway/watch.go
+++ b/internal/app/gateway/watch.go
@@ -99,7 +99,7 @@
 	defer cancel()
 	return link.Watch(ctx, port.Gateway{
 		Address: g.config.Address, Zone: g.config.Zone, Region: g.config.Region,
-		Incarnation: g.incarnation, Ready: g.Ready(), Heard: g.ports.Clock.Now(),
+		Incarnation: g.incarnation, Ready: g.Ready(), LastSeen: g.ports.Clock.Now(),
 	}, cursor)
 }
 
@@ -215,7 +215,7 @@
 			slog.Int64("confirmed_ms_ago", now.Sub(u.Confirmed).Milliseconds()))
 	}
 	for _, l := range u.Dispatchers {
-		until := now.Add(l.Left)
+		until := now.Add(l.Remaining)
 		if until.After(g.dispatchers[l.Region].until) {
 			g.dispatchers[l.Region] = dispatcher{address: l.Holder, until: until}
 		}
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -56,7 +56,7 @@
 		return fail(stderr, exitFailure, err)
 	}
 	if o.once && o.key == "" {
-		o.key = answer.Home + "." + strings.ToLower(rand.Text())
+		o.key = answer.KeyPrefix + "." + strings.ToLower(rand.Text())
 	}
 	if err := call(ctx, o, answer, stdout); err != nil {
 		return fail(stderr, exitFailure, err)
--- a/internal/cli/call_test.go
+++ b/internal/cli/call_test.go
@@ -35,7 +35,7 @@
 		defer link.Close()
 		_, err = lookup(t.Context(), []string{link.Addr()}, "s", "")
 		is.NoErr(err)
-		link.Swallow(testlink.Both)
+		link.DropEstablished(testlink.Both)
 		found := port.LookupAnswer{Entries: []port.LookupEntry{{Name: "e", Address: link.Addr()}}}
 		o := callOptions{service: "s", method: method, target: "/", timeout: 2 * time.Second}
 		err = call(t.Context(), o, found, io.Discard)
--- a/internal/cli/controller.go
+++ b/internal/cli/controller.go
@@ -40,12 +40,12 @@
 	fleet := fleetgrpc.NewServer(c, p.clock)
 	go func() { p.failed <- fleet.Serve(listener) }()
 	control := platform.NewControl(platform.ControlOptions{
-		Orders: c, Announcements: c, Clock: p.clock, Zones: p.settings.Zones,
+		OperatorService: c, EndpointService: c, Clock: p.clock, Zones: p.settings.Zones,
 	})
 	if _, err := p.serve(ctx, "operators", p.settings.OperatorListen, control, nil); err != nil {
 		return err
 	}
-	lookups := platform.NewDirectory(c, p.settings.AnswerTTL)
+	lookups := platform.NewDirectory(c, p.settings.MaxDirectoryTTL)
 	if _, err := p.serve(ctx, "look-ups", p.settings.DirectoryListen, lookups, nil); err != nil {
 		return err
 	}
--- a/internal/cli/ctl/ctl_test.go
+++ b/internal/cli/ctl/ctl_test.go
@@ -181,14 +181,14 @@
 	is.Equal(b.run("apply", b.file, "-base", "1", "-control", cut+","+b.url), 0)
 	is.Equal(b.version(), uint64(2))
 
-	b.store.LoseAnswers = 2
+	b.store.LoseResponses = 2
 	is.Equal(b.run("apply", b.file, "-base", "2"), 0)
 	is.Equal(b.version(), uint64(3))
 
-	b.store.LoseAnswers = 1000
+	b.store.LoseResponses = 1000
 	is.Equal(b.run("apply", b.file, "-base", "3", "-change-id", "again", "-timeout", "2s"), int(ctl.ExitUnknown))
 	is.True(strings.Contains(b.errs.String(), "-change-id again"))
-	b.store.LoseAnswers = 0
+	b.store.LoseResponses = 0
 	is.Equal(b.run("apply", b.file, "-base", "3", "-change-id", "again"), 0)
 	is.Equal(b.version(), uint64(4))
 }
@@ -199,7 +199,7 @@
 func TestRefusalAfterLostAnswer(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
-	b.store.LoseAnswers = 1
+	b.store.LoseResponses = 1
 	unrelated := b.serve(operatorhttp.New(operatorhttp.Options{Store: &porttest.Store{}, Logger: slog.New(slog.DiscardHandler)}))
 	code := b.run("apply", b.file, "-base", "1", "-control", b.url+","+unrelated, "-timeout", "250ms")
 	is.Equal(code, int(ctl.ExitUnknown))
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -79,11 +79,11 @@
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go p.entry.Run(running)
-	go wait.Each(running, sweepPeriod, p.endpoints.Sweep)
+	go wait.Every(running, sweepPeriod, p.endpoints.Sweep)
 	select {
 	case err := <-p.failed:
 		return err
-	case <-p.entry.Misplaced():
+	case <-p.entry.PlaceNotListed():
 		return errUnknownPlace
 	case <-ctx.Done():
 	case <-signals:
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -88,10 +88,10 @@
 		clock: port.ClockFunc(time.Now), meter: metrics.New(), metricsPort: *metricsPort, fleetListen: *fleetListen, failed: make(chan error, 4),
 	}
 	event.Log(context.Background(), p.logger, event.Started, slog.String("zone", settings.Zone),
-		slog.String("region", settings.Region), slog.Any("seeds", settings.Seeds), slog.Bool("founding", settings.Founding))
+		slog.String("region", settings.Region), slog.Any("seeds", settings.Seeds), slog.Bool("founding", settings.Bootstrap))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go wait.Each(ctx, droppedPeriod, p.reportDropped)
+	go wait.Every(ctx, droppedPeriod, p.reportDropped)
 	if err := run(ctx, p); err != nil {
 		event.Log(ctx, p.logger, event.ServeFailed, slog.Any("error", err))
 		return fail(stderr, exitFailure, err)
@@ -197,7 +197,7 @@
 // the platform's endpoints.
 func newGateway(p *vmProcess) (*gateway.Gateway, *endpointhttp.Caller) {
 	endpoints := endpointhttp.New(endpointhttp.Options{
-		Clock: p.clock, Dialect: platform.Dialect(), IdleTimeout: endpointIdleTimeout,
+		Clock: p.clock, HeaderConvention: platform.HeaderConvention(), IdleTimeout: endpointIdleTimeout,
 	})
 	g := gateway.New(gateway.Config{
 		Name: p.settings.Name, Address: p.settings.ClientListen,
@@ -213,7 +213,7 @@
 func newController(p *vmProcess, store port.VoterStore) (*controller.Controller, error) {
 	return controller.New(controller.Config{
 		Name: p.settings.Name, Address: p.settings.FleetAddress, Zone: p.settings.Zone, Region: p.settings.Region,
-		Zones: p.settings.Zones, Seeds: p.settings.Seeds, Founding: p.settings.Founding, Retries: p.settings.Retries, MaxShift: p.settings.MaxShift,
+		Zones: p.settings.Zones, Seeds: p.settings.Seeds, Bootstrap: p.settings.Bootstrap, Retries: p.settings.Retries, MaxShift: p.settings.MaxShift,
 	}, controller.Ports{
 		Clock: p.clock, Logger: p.logger, Store: store, Meter: p.meter,
 		Dial: func(address string) (port.ControllerPeer, error) { return p.dial(address) },
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -41,14 +41,14 @@
 	if err != nil {
 		return err
 	}
-	go wait.Each(ctx, sweepPeriod, idle.Sweep)
+	go wait.Every(ctx, sweepPeriod, idle.Sweep)
 	if _, err := p.serve(ctx, "readiness", p.settings.ReadyListen, platform.NewReadiness(g), nil); err != nil {
 		return err
 	}
 	p.serveMetrics(ctx, g.Gauges)
 	go g.Run(ctx)
 	go p.reload(ctx, g.SetSeeds)
-	go wait.Each(ctx, sweepPeriod, endpoints.Sweep)
+	go wait.Every(ctx, sweepPeriod, endpoints.Sweep)
 	if err := p.awaitStop(); err != nil {
 		return err
 	}
@@ -57,10 +57,10 @@
 }
 
 // stopGateway keeps serving while clients may still arrive, then waits until no
-// request is in flight. It cuts off requests that outlast the settings' StopWithin
-// less stopMargin.
+// request is in flight. It cuts off requests that outlast the settings'
+// KillAfter less stopMargin.
 func stopGateway(ctx context.Context, p *vmProcess, g *gateway.Gateway, clients *http.Server) {
-	ctx, cancel := context.WithTimeout(ctx, p.settings.StopWithin-stopMargin)
+	ctx, cancel := context.WithTimeout(ctx, p.settings.KillAfter-stopMargin)
 	defer cancel()
 	began := p.clock.Now()
 	g.Stop()
--- a/internal/core/budget/reservation.go
+++ b/internal/core/budget/reservation.go
@@ -48,7 +48,7 @@
 }
 
 // Settle ends a hold and counts its actual use at the time now, so that it
-// counts for one window from now on. Until now the whole hold counted.
+// counts for one window from now on. Until now the whole reservation counted.
 // Every window that contains the time at which the units were used therefore
 // counts them, whenever that was since the reservation. bytes is the number of
 // bytes that went over the link: those of the answer if the charge has
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -25,11 +25,12 @@
 	StartedMillis int64
 	// Sequence increases with each announcement of the incarnation.
 	Sequence int64
-	// Leaving says that the endpoint takes no new requests; Gone, that it signed
-	// off or that a newer endpoint has its address.
+	// Leaving says that the endpoint takes no new requests; Gone, that it was
+	// deregistered or that a newer endpoint has its address.
 	Leaving bool
 	Gone    bool
-	// LastSeen is the time of the announcement or sign-off, on this VM's clock.
+	// LastSeen is the time of the announcement or deregistration, on this VM's
+	// clock.
 	LastSeen time.Time
 	// ColdUntil is when the slow start of the endpoint ends, on this VM's clock.
 	ColdUntil time.Time
@@ -39,7 +40,7 @@
 // concurrent use.
 type Registry struct {
 	// retention is how long an endpoint is kept after its last announcement or
-	// sign-off.
+	// deregistration.
 	retention time.Duration
 	endpoints map[string]*Endpoint
 	// revision increases with each change of an endpoint; changedAt holds the
@@ -49,7 +50,7 @@
 }
 
 // New returns an empty registry that keeps an endpoint for the retention after its
-// last announcement or sign-off.
+// last announcement or deregistration.
 func New(retention time.Duration) *Registry {
 	return &Registry{
 		retention: retention,
@@ -61,7 +62,8 @@
 // Record records an announcement that the endpoint sent or another VM
 // forwarded. It returns false, and changes nothing, if the announcement isn't
 // newer than the recorded one or would make a leaving or gone endpoint ready
-// again. A sign-off of the recorded incarnation applies whatever its sequence.
+// again. A deregistration of the recorded incarnation applies whatever its
+// sequence.
 func (r *Registry) Record(e Endpoint) bool {
 	old := r.endpoints[e.ID]
 	if old != nil {
@@ -69,7 +71,7 @@
 		case e.StartedMillis == old.StartedMillis && (old.Gone || old.Leaving) && !e.Leaving:
 			return false
 		case e.StartedMillis == old.StartedMillis && e.Gone && !old.Gone:
-			// A sign-off is accepted with any sequence.
+			// A deregistration is accepted with any sequence.
 		case order <= 0:
 			return false
 		}
@@ -135,8 +137,8 @@
 	return out, r.revision
 }
 
-// Sweep removes the endpoints whose last announcement or sign-off is older than the
-// retention, and returns them.
+// Sweep removes the endpoints whose last announcement or deregistration is
+// older than the retention, and returns them.
 func (r *Registry) Sweep(now time.Time) []Endpoint {
 	var removed []Endpoint
 	for id, e := range r.endpoints {
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -45,7 +45,7 @@
 		{"leaving", []registry.Endpoint{first}, leaving(announced("a", "1:1", 10, 6)), true},
 		{"ready after leaving", []registry.Endpoint{leaving(first)}, announced("a", "1:1", 10, 9), false},
 		{"leaving again", []registry.Endpoint{leaving(first)}, leaving(announced("a", "1:1", 10, 9)), true},
-		{"sign-off with an old sequence", []registry.Endpoint{first}, gone(announced("a", "1:1", 10, 5)), true},
+		{"deregistration with an old sequence", []registry.Endpoint{first}, gone(announced("a", "1:1", 10, 5)), true},
 		{"ready after being gone", []registry.Endpoint{gone(first)}, announced("a", "1:1", 10, 9), false},
 		{"new start after being gone", []registry.Endpoint{gone(first)}, announced("a", "1:1", 12, 1), true},
 	}
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -15,12 +15,12 @@
 
 // Events of the document: 1100 to 1199.
 var (
-	DocumentApplied = Event{1100, "document-applied", slog.LevelInfo, "A version of the document is in force on this entry."}
-	DocumentRefused = Event{1101, "document-refused", slog.LevelError, "A fetched document can't be read or doesn't match its digest; the one in force is kept."}
-	ControlLost     = Event{1102, "control-lost", slog.LevelWarn, "No control VM with a quorum answers; the document in force is kept."}
-	ControlFound    = Event{1103, "control-found", slog.LevelInfo, "A control VM with a quorum answers again."}
-	ServingCutOff   = Event{1104, "serving-cut-off", slog.LevelWarn, "This entry started without a control quorum and serves the newest version that it received from control VMs or peers."}
-	NotListed       = Event{1105, "not-listed", slog.LevelWarn, "The document in force doesn't list this entry at its place; look-ups don't return it."}
+	DocumentApplied      = Event{1100, "document-applied", slog.LevelInfo, "A version of the document is in force on this entry."}
+	DocumentRefused      = Event{1101, "document-refused", slog.LevelError, "A fetched document can't be read or doesn't match its digest; the one in force is kept."}
+	ControlLost          = Event{1102, "control-lost", slog.LevelWarn, "No control VM with a quorum answers; the document in force is kept."}
+	ControlFound         = Event{1103, "control-found", slog.LevelInfo, "A control VM with a quorum answers again."}
+	ServingWithoutQuorum = Event{1104, "serving-cut-off", slog.LevelWarn, "This entry started without a control quorum and serves the newest version that it received from control VMs or peers."}
+	NotListed            = Event{1105, "not-listed", slog.LevelWarn, "The document in force doesn't list this entry at its place; look-ups don't return it."}
 )
 
 // Events of membership and ownership: 1200 to 1299.
@@ -46,7 +46,7 @@
 var (
 	FolderUnusable = Event{1400, "folder-unusable", slog.LevelWarn, "The data folder holds no usable state: it is new, or its disk was lost or damaged. The member doesn't vote until it founds the group with all others or is repaired."}
 	FolderFailed   = Event{1401, "folder-failed", slog.LevelError, "The member's state could not be saved to the data folder; the member answers nothing until it is restarted."}
-	VotesFresh     = Event{1402, "votes-fresh", slog.LevelInfo, "All members had empty data folders; the member founded the group and votes from now on."}
+	GroupFounded   = Event{1402, "votes-fresh", slog.LevelInfo, "All members had empty data folders; the member founded the group and votes from now on."}
 	VotesRepaired  = Event{1403, "votes-repaired", slog.LevelInfo, "The member was repaired with the state of the others and votes again."}
 	StateOlder     = Event{1404, "state-older", slog.LevelWarn, "The member's state is older than its last repair, for instance because an old disk image was restored; the member stops voting until it is repaired again."}
 )
@@ -65,47 +65,47 @@
 
 // Events of controllers: 1600 to 1699.
 var (
-	VoterStarted      = Event{1600, "voter-started", slog.LevelInfo, "A controller started with the state on its disk; attributes give the disk's ID and the epoch of voters."}
-	StateLearned      = Event{1601, "state-learned", slog.LevelInfo, "A controller learned a newer chosen state."}
-	EpochEntered      = Event{1602, "epoch-entered", slog.LevelInfo, "A controller learned a newer epoch with its set of voters."}
-	StateUnreadable   = Event{1603, "state-unreadable", slog.LevelError, "This version of the program can't decode a chosen state."}
-	ConfigOrdered     = Event{1604, "config-ordered", slog.LevelInfo, "An operator's configuration was accepted or refused, or its outcome is unknown."}
-	EvacuationOrdered = Event{1605, "evacuation-ordered", slog.LevelInfo, "An order to evacuate a zone or to end its evacuation was accepted or refused, or its outcome is unknown."}
-	ControllerLost    = Event{1606, "controller-lost", slog.LevelWarn, "Another controller is unreachable."}
-	ControllerFound   = Event{1607, "controller-found", slog.LevelInfo, "Another controller is reachable."}
-	VotersChanged     = Event{1608, "voters-changed", slog.LevelInfo, "This controller tried to change the set of voters; an attribute gives the outcome."}
-	EndpointChanged   = Event{1609, "endpoint-changed", slog.LevelInfo, "An endpoint is new, restarted, is leaving or is gone."}
-	LeavingUnsure     = Event{1610, "leaving-unsure", slog.LevelWarn, "The announcement that an endpoint leaves was acknowledged by fewer than a majority of the voters, so it failed."}
-	DispatchBegun     = Event{1611, "dispatch-begun", slog.LevelInfo, "This controller started to dispatch the requests of a region."}
-	DispatchEnded     = Event{1612, "dispatch-ended", slog.LevelInfo, "This controller stopped dispatching the requests of a region."}
-	OrderNotPassed    = Event{1614, "order-not-passed", slog.LevelWarn, "The presiding controller was unreachable or failed to answer; this controller proposes the order itself."}
-	LoansChanged      = Event{1615, "loans-changed", slog.LevelInfo, "The number of endpoints that a region lends to another changed; attributes give the numbers and the load of both regions."}
-	StoreFailed       = Event{1613, "store-failed", slog.LevelError, "A write to the data folder failed; the vote was not given and the folder is reopened."}
+	VoterStarted          = Event{1600, "voter-started", slog.LevelInfo, "A controller started with the state on its disk; attributes give the disk's ID and the epoch of voters."}
+	StateLearned          = Event{1601, "state-learned", slog.LevelInfo, "A controller learned a newer chosen state."}
+	EpochEntered          = Event{1602, "epoch-entered", slog.LevelInfo, "A controller learned a newer epoch with its set of voters."}
+	StateUnreadable       = Event{1603, "state-unreadable", slog.LevelError, "This version of the program can't decode a chosen state."}
+	ConfigOrdered         = Event{1604, "config-ordered", slog.LevelInfo, "An operator's configuration was accepted or refused, or its outcome is unknown."}
+	EvacuationOrdered     = Event{1605, "evacuation-ordered", slog.LevelInfo, "An order to evacuate a zone or to end its evacuation was accepted or refused, or its outcome is unknown."}
+	ControllerLost        = Event{1606, "controller-lost", slog.LevelWarn, "Another controller is unreachable."}
+	ControllerFound       = Event{1607, "controller-found", slog.LevelInfo, "Another controller is reachable."}
+	VotersChanged         = Event{1608, "voters-changed", slog.LevelInfo, "This controller tried to change the set of voters; an attribute gives the outcome."}
+	EndpointChanged       = Event{1609, "endpoint-changed", slog.LevelInfo, "An endpoint is new, restarted, is leaving or is gone."}
+	LeavingUnacknowledged = Event{1610, "leaving-unsure", slog.LevelWarn, "The announcement that an endpoint leaves was acknowledged by fewer than a majority of the voters, so it failed."}
+	DispatchBegun         = Event{1611, "dispatch-begun", slog.LevelInfo, "This controller started to dispatch the requests of a region."}
+	DispatchEnded         = Event{1612, "dispatch-ended", slog.LevelInfo, "This controller stopped dispatching the requests of a region."}
+	OrderNotPassed        = Event{1614, "order-not-passed", slog.LevelWarn, "The presiding controller was unreachable or failed to answer; this controller proposes the order itself."}
+	LoansChanged          = Event{1615, "loans-changed", slog.LevelInfo, "The number of endpoints that a region lends to another changed; attributes give the numbers and the load of both regions."}
+	StoreFailed           = Event{1613, "store-failed", slog.LevelError, "A write to the data folder failed; the vote was not given and the folder is reopened."}
 )
 
 // Events of gateways: 1700 to 1799.
 var (
-	ConfigApplied  = Event{1700, "config-applied", slog.LevelInfo, "A newer state, with its version of the configuration, is in force on this gateway."}
-	WatchLost      = Event{1701, "watch-lost", slog.LevelWarn, "A controller that this gateway watched is unreachable, or its state is stale and another one can be watched."}
-	WatchBegun     = Event{1702, "watch-begun", slog.LevelInfo, "This gateway started to watch a controller."}
-	RequestEnded   = Event{1703, "request-ended", slog.LevelInfo, "A request ended; attributes give its route, service, endpoint, attempts, verdict and times."}
-	RecordsDropped = Event{1704, "records-dropped", slog.LevelWarn, "Log records were dropped because standard output was too slow or the bound was reached; the attribute gives their number."}
-	ControllerDeaf = Event{1707, "controller-deaf", slog.LevelWarn, "A controller failed to answer requests for a slot; for a while this gateway sends them to other controllers."}
-	SettingsLoaded = Event{1705, "settings-loaded", slog.LevelInfo, "The settings file was reread and its seeds differ; the attribute lists the seeds now in use."}
-	SettingsFailed = Event{1706, "settings-failed", slog.LevelError, "The settings file can't be read; the settings in use are kept."}
+	ConfigApplied          = Event{1700, "config-applied", slog.LevelInfo, "A newer state, with its version of the configuration, is in force on this gateway."}
+	WatchLost              = Event{1701, "watch-lost", slog.LevelWarn, "A controller that this gateway watched is unreachable, or its state is stale and another one can be watched."}
+	WatchBegun             = Event{1702, "watch-begun", slog.LevelInfo, "This gateway started to watch a controller."}
+	RequestEnded           = Event{1703, "request-ended", slog.LevelInfo, "A request ended; attributes give its route, service, endpoint, attempts, verdict and times."}
+	RecordsDropped         = Event{1704, "records-dropped", slog.LevelWarn, "Log records were dropped because standard output was too slow or the bound was reached; the attribute gives their number."}
+	ControllerUnresponsive = Event{1707, "controller-deaf", slog.LevelWarn, "A controller failed to answer requests for a slot; for a while this gateway sends them to other controllers."}
+	SettingsLoaded         = Event{1705, "settings-loaded", slog.LevelInfo, "The settings file was reread and its seeds differ; the attribute lists the seeds now in use."}
+	SettingsFailed         = Event{1706, "settings-failed", slog.LevelError, "The settings file can't be read; the settings in use are kept."}
 )
 
 // Catalogue lists every event in ascending order of its number.
 var Catalogue = []Event{
 	Started, Listening, StopBegun, Stopped, StopForced, ServeFailed, StopWaits,
-	DocumentApplied, DocumentRefused, ControlLost, ControlFound, ServingCutOff, NotListed,
+	DocumentApplied, DocumentRefused, ControlLost, ControlFound, ServingWithoutQuorum, NotListed,
 	MemberLost, MemberFound, OwnerGained, OwnerLost,
 	EndpointFound, EndpointLeaving, EndpointDied, Quarantined, QuarantineLift, HandOverFailed, HandOverDone,
-	FolderUnusable, FolderFailed, VotesFresh, VotesRepaired, StateOlder,
+	FolderUnusable, FolderFailed, GroupFounded, VotesRepaired, StateOlder,
 	ChangeEnded, ChangeUndecided, ChangeRefused, RefusedNotRecorded, RegisterUnreadable, TokenRefused,
 	ConsoleFailed, ConsolePartial,
 	VoterStarted, StateLearned, EpochEntered, StateUnreadable, ConfigOrdered, EvacuationOrdered,
-	ControllerLost, ControllerFound, VotersChanged, EndpointChanged, LeavingUnsure,
+	ControllerLost, ControllerFound, VotersChanged, EndpointChanged, LeavingUnacknowledged,
 	DispatchBegun, DispatchEnded, StoreFailed, OrderNotPassed, LoansChanged,
-	ConfigApplied, WatchLost, WatchBegun, RequestEnded, RecordsDropped, SettingsLoaded, SettingsFailed, ControllerDeaf,
+	ConfigApplied, WatchLost, WatchBegun, RequestEnded, RecordsDropped, SettingsLoaded, SettingsFailed, ControllerUnresponsive,
 }
--- a/internal/measure/controlcost/fetch.go
+++ b/internal/measure/controlcost/fetch.go
@@ -117,12 +117,12 @@
 		return fetchCost{}, err
 	}
 	defer member.stop()
-	query := port.FetchQuery{Have: 1}
+	query := port.FetchQuery{CurrentVersion: 1}
 	each := pollsEach
 	if c.needsDocument {
-		query.Have, each = 0, documentsEach
+		query.CurrentVersion, each = 0, documentsEach
 	}
-	request := &registerv1.FetchRequest{HaveVersion: query.Have}
+	request := &registerv1.FetchRequest{HaveVersion: query.CurrentVersion}
 	for n := range c.reports {
 		r := port.EntryReport{Name: fmt.Sprintf("place-00-e%02d", n), Place: placeName(0), Incarnation: 1_800_000_000_000, Version: 1234}
 		query.Entries = append(query.Entries, r)
--- a/internal/port/entry.go
+++ b/internal/port/entry.go
@@ -33,9 +33,9 @@
 	TTLMillis int64 `json:"ttl_ms"`
 	// Version is the version of the document that the answer is from.
 	Version uint64 `json:"version"`
-	// Home begins the keys of once-only requests. It names one incarnation of
+	// KeyPrefix begins the keys of once-only requests. It names one incarnation of
 	// the first entry.
-	Home string `json:"home"`
+	KeyPrefix string `json:"home"`
 }
 
 // EndpointState is the state that an endpoint reports.
--- a/internal/port/fleet.go
+++ b/internal/port/fleet.go
@@ -12,10 +12,10 @@
 )
 
 var (
-	// ErrUnsure means that no quorum confirmed the newest state, or that an
+	// ErrUnconfirmed means that no quorum confirmed the newest state, or that an
 	// order or an endpoint's leaving wasn't acknowledged by a quorum in time;
 	// it may still take effect later.
-	ErrUnsure = errors.New("no quorum confirmed the state or change in time")
+	ErrUnconfirmed = errors.New("no quorum confirmed the state or change in time")
 	// ErrNotDispatcher means that a controller doesn't dispatch a region.
 	ErrNotDispatcher = errors.New("controller doesn't dispatch the region")
 )
@@ -30,8 +30,8 @@
 	Zone, Region string
 	// Incarnation is its start time in Unix nanoseconds.
 	Incarnation uint64
-	// Heard is when it was last known to be live, on this VM's clock.
-	Heard time.Time
+	// LastSeen is when it was last known to be live, on this VM's clock.
+	LastSeen time.Time
 }
 
 // Gateway describes a gateway, as reported by itself or by controllers.
@@ -42,8 +42,8 @@
 	Incarnation  uint64
 	// Ready means that clients may use it.
 	Ready bool
-	// Heard is when it was last known to be live, on this VM's clock.
-	Heard time.Time
+	// LastSeen is when it was last known to be live, on this VM's clock.
+	LastSeen time.Time
 }
 
 // Lease names the dispatcher of a region.
@@ -51,33 +51,33 @@
 	Region string
 	// Holder is the address of the controller that dispatches the region.
 	Holder string
-	// Left is the time left until the lease ends.
-	Left time.Duration
-	// Firm means that the holder has a majority of the votes. A controller
+	// Remaining is the time left until the lease ends.
+	Remaining time.Duration
+	// HasMajority means that the holder has a majority of the votes. A controller
 	// without one dispatches only while it knows of no holder.
-	Firm bool
+	HasMajority bool
 }
 
-// News is the message that one controller sends another in a periodic
+// ExchangeRequest is the message that one controller sends another in a periodic
 // exchange, or at once when an endpoint leaves.
-type News struct {
+type ExchangeRequest struct {
 	From        Controller
 	Controllers []Controller
 	Gateways    []Gateway
 	Endpoints   []registry.Endpoint
-	// Asks names regions that the sender requests the receiver's vote for;
-	// Drops, those whose votes it no longer needs.
-	Asks, Drops []string
+	// VoteRequests names regions that the sender requests the receiver's vote for;
+	// VoteReleases, those whose votes it no longer needs.
+	VoteRequests, VoteReleases []string
 	// Loads are the loads of the regions that the sender dispatches; Loans,
 	// the endpoints that these regions lend to others.
 	Loads []dispatch.Load
 	Loans []dispatch.Loan
-	// Whole requests all endpoints that the receiver knows.
-	Whole bool
+	// FullSync requests all endpoints that the receiver knows.
+	FullSync bool
 }
 
-// NewsReply is the answer to News.
-type NewsReply struct {
+// ExchangeReply is the answer to ExchangeRequest.
+type ExchangeReply struct {
 	From Controller
 	// Epoch and Accepted are the voter's epoch and the last ballot that it
 	// accepted.
@@ -86,8 +86,8 @@
 	// Grants names the requested regions that the receiver has given its vote
 	// for.
 	Grants []string
-	// Known are the leases that the receiver holds itself.
-	Known       []Lease
+	// HeldLeases are the leases that the receiver holds itself.
+	HeldLeases  []Lease
 	Controllers []Controller
 	Endpoints   []registry.Endpoint
 }
@@ -107,8 +107,8 @@
 	Prepare(ctx context.Context, m quorum.Prepare) (quorum.Promise, error)
 	Accept(ctx context.Context, m quorum.Accept) (*quorum.Refusal, error)
 	Learn(ctx context.Context, epoch quorum.Epoch, chosen quorum.Accepted) error
-	Exchange(ctx context.Context, n News) (NewsReply, error)
-	// Order makes an order durable; the error wraps ErrUnsure.
+	Exchange(ctx context.Context, n ExchangeRequest) (ExchangeReply, error)
+	// Order makes an order durable; the error wraps ErrUnconfirmed.
 	Order(ctx context.Context, o fleet.Order) (OrderReply, error)
 }
 
@@ -141,8 +141,8 @@
 	Cursor      WatchCursor
 }
 
-// AskSlot requests a slot from the dispatcher of a region.
-type AskSlot struct {
+// SlotRequest requests a slot from the dispatcher of a region.
+type SlotRequest struct {
 	dispatch.SlotRequest
 	Region string
 }
@@ -162,7 +162,7 @@
 	// cursor. The controller holds the call for a short time until there is a
 	// change.
 	Watch(ctx context.Context, g Gateway, since WatchCursor) (Update, error)
-	Acquire(ctx context.Context, a AskSlot) (dispatch.Decision, error)
+	Acquire(ctx context.Context, a SlotRequest) (dispatch.Decision, error)
 	Release(ctx context.Context, r []SlotRelease) error
 }
 
--- a/internal/port/gateway.go
+++ b/internal/port/gateway.go
@@ -45,27 +45,28 @@
 	Stopping() bool
 }
 
-// Orders is the service that a controller offers to operators.
-type Orders interface {
+// OperatorService is the service that a controller offers to operators.
+type OperatorService interface {
 	// Configure makes a change of the configuration durable. The error wraps
-	// fleet.ErrInvalid, fleet.ErrConflict or ErrUnsure.
+	// fleet.ErrInvalid, fleet.ErrConflict or ErrUnconfirmed.
 	Configure(ctx context.Context, change fleet.Change) error
 	// Evacuate makes the evacuation of a failure domain durable, or its end.
 	Evacuate(ctx context.Context, zone string, evacuated bool) error
-	// Current returns the newest state; the error wraps ErrUnsure.
+	// Current returns the newest state; the error wraps ErrUnconfirmed.
 	Current(ctx context.Context) (*fleet.State, error)
 }
 
-// Announcements is the service that a controller offers to endpoints.
-type Announcements interface {
-	// Announce records an endpoint's announcement; the error wraps ErrUnsure.
+// EndpointService is the service that a controller offers to endpoints.
+type EndpointService interface {
+	// Announce records an endpoint's announcement; the error wraps ErrUnconfirmed.
 	Announce(ctx context.Context, e registry.Endpoint) error
-	// SignOff records that an endpoint has ended; the error wraps ErrUnsure.
-	SignOff(ctx context.Context, id string) error
+	// Deregister records that an endpoint has ended; the error wraps
+	// ErrUnconfirmed.
+	Deregister(ctx context.Context, id string) error
 }
 
-// Directory finds gateways for clients.
-type Directory interface {
+// GatewayDirectory finds gateways for clients.
+type GatewayDirectory interface {
 	// Nearest returns the addresses of the gateways nearest to a failure
 	// domain of a region; empty when no ready gateway is known to be live.
 	Nearest(zone, region string) []string
--- a/internal/port/peer.go
+++ b/internal/port/peer.go
@@ -13,10 +13,10 @@
 type Hop uint8
 
 const (
-	// HopHome requests that the receiver handles a once-only request as the
-	// home of its key, the entry that records the key's attempts, or reports
-	// what it knows of a key whose home is gone.
-	HopHome Hop = iota + 1
+	// HopCoordinator requests that the receiver handles a once-only request as the
+	// coordinator of its key, the entry that records the key's attempts, or
+	// reports what it knows of a key whose coordinator is gone.
+	HopCoordinator Hop = iota + 1
 	// HopOwner requests that the owner of a group admits the request. An owner
 	// never forwards a request.
 	HopOwner
@@ -30,9 +30,9 @@
 	Place string
 	// Request is the request; its Deadline is on this VM's clock.
 	Request *Request
-	// Fresh requests a new connection, for the second attempt of a request
+	// NewConnection requests a new connection, for the second attempt of a request
 	// whose first one is late.
-	Fresh bool
+	NewConnection bool
 }
 
 // QuarantineRow is the quarantine state of one fingerprint, as sent between
@@ -119,8 +119,8 @@
 
 // FetchQuery requests a newer document from a control VM.
 type FetchQuery struct {
-	// Have is the version in force at this entry.
-	Have uint64
+	// CurrentVersion is the version in force at this entry.
+	CurrentVersion uint64
 	// Entries are the reports of this entry and of others of its place.
 	Entries []EntryReport
 }
--- a/internal/port/porttest/store.go
+++ b/internal/port/porttest/store.go
@@ -19,10 +19,10 @@
 	// NoQuorum makes every method but Status fail with port.ErrNoQuorum;
 	// Status reports that there is no quorum.
 	NoQuorum bool
-	// LoseAnswers is the number of next calls whose outcome is lost: they
+	// LoseResponses is the number of next calls whose outcome is lost: they
 	// return port.ChangeUnknown. A change is decided all the same, a lift
 	// isn't.
-	LoseAnswers int
+	LoseResponses int
 	// SubmitErr is returned by Submit and LiftQuarantine, which then decide
 	// nothing.
 	SubmitErr error
@@ -70,8 +70,8 @@
 	if !resent {
 		outcome = s.decide(change)
 	}
-	if s.LoseAnswers > 0 {
-		s.LoseAnswers--
+	if s.LoseResponses > 0 {
+		s.LoseResponses--
 		return port.Outcome{ChangeID: change.ID, State: port.ChangeUnknown}, nil
 	}
 	return outcome, nil
@@ -132,8 +132,8 @@
 		return port.Outcome{}, s.SubmitErr
 	}
 	outcome := port.Outcome{ChangeID: lift.ID, State: port.ChangeLifted, Version: s.current.Version, Digest: s.current.Digest}
-	if s.LoseAnswers > 0 {
-		s.LoseAnswers--
+	if s.LoseResponses > 0 {
+		s.LoseResponses--
 		outcome.State = port.ChangeUnknown
 		return outcome, nil
 	}
--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -54,7 +54,7 @@
 func (a *announcer) run(ctx context.Context) {
 	announce := func() { a.announce(ctx) }
 	announce()
-	wait.EachOr(ctx, announceInterval, a.wakeUp, announce)
+	wait.EveryOrOn(ctx, announceInterval, a.wakeUp, announce)
 }
 
 // announce sends an announcement to each known entry VM, starting with the last one
--- a/internal/systemtest/caller_test.go
+++ b/internal/systemtest/caller_test.go
@@ -164,6 +164,6 @@
 	if err != nil {
 		return "", result{err: err}
 	}
-	key = answer.Home + "." + strings.ReplaceAll(body, "/", "")
+	key = answer.KeyPrefix + "." + strings.ReplaceAll(body, "/", "")
 	return key, s.send(answer.Entries[0].Address, place, http.MethodPost, key, body)
 }
--- a/internal/systemtest/fault_test.go
+++ b/internal/systemtest/fault_test.go
@@ -314,12 +314,12 @@
 	is.True(r.err != nil || r.verdict == "may-have-run") // never the verdict not-run
 }
 
-// keyAt returns a new once-only key, which starts with the home that a look-up
-// returned.
+// keyAt returns a new once-only key, which starts with the prefix that a
+// look-up returned.
 func (s *system) keyAt(place string) string {
 	answer, err := s.lookup(place)
 	if err != nil {
 		s.t.Errorf("look-up: %v", err)
 	}
-	return answer.Home + "." + s.unique("key")
+	return answer.KeyPrefix + "." + s.unique("key")
 }
--- a/internal/systemtest/load_test.go
+++ b/internal/systemtest/load_test.go
@@ -58,7 +58,7 @@
 		method := "GET"
 		if r.once {
 			method = "POST"
-			r.key = answer.Home + "." + strings.ReplaceAll(body, "/", "")
+			r.key = answer.KeyPrefix + "." + strings.ReplaceAll(body, "/", "")
 		}
 		r.result = l.s.send(r.entry, l.place, method, r.key, body)
 		l.mu.Lock()
--- a/internal/systemtest/measure_test.go
+++ b/internal/systemtest/measure_test.go
@@ -390,7 +390,7 @@
 			for range atOnce {
 				body := s.unique("silence")
 				wg.Go(func() {
-					r := s.send(other, "north-a", "POST", own.Home+"."+body, body)
+					r := s.send(other, "north-a", "POST", own.KeyPrefix+"."+body, body)
 					mu.Lock()
 					defer mu.Unlock()
 					ends[r.verdict]++
--- a/internal/systemtest/path_test.go
+++ b/internal/systemtest/path_test.go
@@ -27,7 +27,7 @@
 	answer, err := s.lookup("north-a")
 	is.NoErr(err)
 	body := s.unique("post")
-	key := answer.Home + "." + body
+	key := answer.KeyPrefix + "." + body
 	for _, place := range s.doc.Places {
 		for _, entry := range s.entriesOf(place.Name) {
 			r := s.send(entry, "north-a", "POST", key, body)
@@ -51,7 +51,7 @@
 	answer, err := s.lookup("north-a")
 	is.NoErr(err)
 	body := s.unique("late")
-	key := answer.Home + "." + body
+	key := answer.KeyPrefix + "." + body
 	first := s.sendWithin(answer.Entries[0].Address, "north-a", "POST", key, body, 500*time.Millisecond)
 	is.Equal(first.verdict, "may-have-run")
 	for _, timeout := range []time.Duration{callTimeout, time.Millisecond} {
--- a/internal/testlink/link.go
+++ b/internal/testlink/link.go
@@ -23,8 +23,8 @@
 type Kind uint8
 
 const (
-	// Silence drops all further bytes; the connection stays open at both ends.
-	Silence Kind = iota
+	// Drop drops all further bytes; the connection stays open at both ends.
+	Drop Kind = iota
 	// Reset resets the connection at both ends.
 	Reset
 )
@@ -93,27 +93,27 @@
 	l.delay = d
 }
 
-// Cut drops all bytes in the given directions, on established and new connections,
-// until Heal. Dialing still succeeds. A connection that lost bytes drops all further
-// bytes in that direction, also after Heal.
+// Cut drops all bytes in the given directions, on established and new
+// connections, until ClearFaults. Dialing still succeeds. A connection that
+// lost bytes drops all further bytes in that direction, also after ClearFaults.
 func (l *Link) Cut(d Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = d
 }
 
-// Heal ends Cut and FailNext. Connections that lost bytes or that were accepted with
-// a fault are not repaired.
-func (l *Link) Heal() {
+// ClearFaults ends Cut and FailNext. Connections that lost bytes or that were
+// accepted with a fault are not repaired.
+func (l *Link) ClearFaults() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = 0
 	l.next = nil
 }
 
-// Swallow drops all further bytes of all established connections in the given
-// directions, permanently. New connections work.
-func (l *Link) Swallow(d Direction) { l.Fail(Fault{Kind: Silence, Direction: d}) }
+// DropEstablished drops all further bytes of all established connections in the
+// given directions, permanently. New connections work.
+func (l *Link) DropEstablished(d Direction) { l.Fail(Fault{Kind: Drop, Direction: d}) }
 
 // Fail applies a fault to all established connections; After counts from now.
 func (l *Link) Fail(f Fault) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// FailNext applies a fault to the connections that are accepted from now on, until
-// Heal.
+// FailNext applies a fault to the connections that are accepted from now on,
+// until ClearFaults.
 func (l *Link) FailNext(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testlink/link_test.go
+++ b/internal/testlink/link_test.go
@@ -67,17 +67,17 @@
 		next string
 	}{
 		{"none", func(*testlink.Link) {}, "hello", nil, "hello"},
-		{"drop to the target", func(l *testlink.Link) { l.Swallow(testlink.ToTarget) }, "", os.ErrDeadlineExceeded, "hello"},
-		{"drop to the dialer", func(l *testlink.Link) { l.Swallow(testlink.ToDialer) }, "", os.ErrDeadlineExceeded, "hello"},
+		{"drop to the target", func(l *testlink.Link) { l.DropEstablished(testlink.ToTarget) }, "", os.ErrDeadlineExceeded, "hello"},
+		{"drop to the dialer", func(l *testlink.Link) { l.DropEstablished(testlink.ToDialer) }, "", os.ErrDeadlineExceeded, "hello"},
 		{"drop from the third byte", func(l *testlink.Link) {
-			l.Fail(testlink.Fault{Kind: testlink.Silence, Direction: testlink.ToDialer, After: 2})
+			l.Fail(testlink.Fault{Kind: testlink.Drop, Direction: testlink.ToDialer, After: 2})
 		}, "he", os.ErrDeadlineExceeded, "hello"},
 		{"reset from the third byte", func(l *testlink.Link) {
 			l.Fail(testlink.Fault{Kind: testlink.Reset, Direction: testlink.ToDialer, After: 2})
 		}, "he", syscall.ECONNRESET, "hello"},
 		{"cut", func(l *testlink.Link) { l.Cut(testlink.ToTarget) }, "", os.ErrDeadlineExceeded, ""},
 		{"fault of the next connection", func(l *testlink.Link) {
-			l.FailNext(testlink.Fault{Kind: testlink.Silence, Direction: testlink.ToTarget, After: 1})
+			l.FailNext(testlink.Fault{Kind: testlink.Drop, Direction: testlink.ToTarget, After: 1})
 		}, "hello", nil, "h"},
 	}
 	for _, c := range cases {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -18,14 +18,14 @@
 	}
 }
 
-// Each calls do once per period until ctx ends, first after one period.
-func Each(ctx context.Context, period time.Duration, do func()) {
-	EachOr(ctx, period, nil, do)
+// Every calls do once per period until ctx ends, first after one period.
+func Every(ctx context.Context, period time.Duration, do func()) {
+	EveryOrOn(ctx, period, nil, do)
 }
 
-// EachOr calls do once per period, and in addition for each receive from wake, until
-// ctx ends.
-func EachOr(ctx context.Context, period time.Duration, wake <-chan struct{}, do func()) {
+// EveryOrOn calls do once per period, and in addition for each receive from
+// wake, until ctx ends.
+func EveryOrOn(ctx context.Context, period time.Duration, wake <-chan struct{}, do func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
