--- a/internal/adapter/fleetgrpc/client.go
+++ b/internal/adapter/fleetgrpc/client.go
@@ -168,9 +168,9 @@
 }
 
 // Exchange implements port.ControllerPeer.
-func (c *Client) Exchange(ctx context.Context, n port.ExchangeRequest) (port.ExchangeReply, error) {
+func (c *Client) Exchange(ctx context.Context, m port.ExchangeRequest) (port.ExchangeReply, error) {
 	out, err := call(ctx, c, false, func(ctx context.Context, s fleetv1.FleetServiceClient) (*fleetv1.ExchangeResponse, error) {
-		return s.Exchange(ctx, codec{c.clock.Now()}.exchangeToProto(n))
+		return s.Exchange(ctx, codec{c.clock.Now()}.exchangeToProto(m))
 	})
 	return codec{c.clock.Now()}.exchangeReplyFromProto(out), err
 }
@@ -201,9 +201,9 @@
 }
 
 // Acquire implements port.ControllerLink.
-func (c *Client) Acquire(ctx context.Context, a port.SlotRequest) (dispatch.Decision, error) {
+func (c *Client) Acquire(ctx context.Context, req port.SlotRequest) (dispatch.Decision, error) {
 	out, err := call(ctx, c, true, func(ctx context.Context, s fleetv1.FleetServiceClient) (*fleetv1.AcquireResponse, error) {
-		return s.Acquire(ctx, codec{c.clock.Now()}.slotRequestToProto(a))
+		return s.Acquire(ctx, codec{c.clock.Now()}.slotRequestToProto(req))
 	})
 	return codec{c.clock.Now()}.decisionFromProto(out), err
 }
--- a/internal/adapter/fleetgrpc/convert.go
+++ b/internal/adapter/fleetgrpc/convert.go
@@ -174,12 +174,12 @@
 	return dispatch.Loan{Lender: m.GetLender(), Borrower: m.GetBorrower(), Endpoints: m.GetEndpoints()}
 }
 
-func (c codec) exchangeToProto(n port.ExchangeRequest) *fleetv1.ExchangeRequest {
+func (c codec) exchangeToProto(m port.ExchangeRequest) *fleetv1.ExchangeRequest {
 	return &fleetv1.ExchangeRequest{
-		From: c.controllerToProto(n.From), Controllers: convertAll(n.Controllers, c.controllerToProto),
-		Gateways: convertAll(n.Gateways, c.gatewayToProto), Endpoints: convertAll(n.Endpoints, c.endpointToProto),
-		Asks: n.VoteRequests, Drops: n.VoteReleases, Whole: n.FullSync,
-		Loads: convertAll(n.Loads, loadToProto), Loans: convertAll(n.Loans, loanToProto),
+		From: c.controllerToProto(m.From), Controllers: convertAll(m.Controllers, c.controllerToProto),
+		Gateways: convertAll(m.Gateways, c.gatewayToProto), Endpoints: convertAll(m.Endpoints, c.endpointToProto),
+		Asks: m.VoteRequests, Drops: m.VoteReleases, Whole: m.FullSync,
+		Loads: convertAll(m.Loads, loadToProto), Loans: convertAll(m.Loans, loanToProto),
 	}
 }
 
@@ -217,11 +217,11 @@
 	return port.WatchCursor{Incarnation: m.GetIncarnation(), Sequence: m.GetSequence()}
 }
 
-func (c codec) slotRequestToProto(a port.SlotRequest) *fleetv1.AcquireRequest {
+func (c codec) slotRequestToProto(req port.SlotRequest) *fleetv1.AcquireRequest {
 	return &fleetv1.AcquireRequest{
-		Id: a.ID, Gateway: a.Gateway, Region: a.Region, Service: a.Service, Priority: int32(a.Priority),
-		Affinity: a.Affinity, Zone: a.Zone, TargetMs: a.Target.Milliseconds(), DeadlineMs: -c.age(a.Deadline),
-		Homes: a.Regions, Exclude: a.Exclude, Kind: a.Kind, Hint: a.Hint, Again: a.Retry,
+		Id: req.ID, Gateway: req.Gateway, Region: req.Region, Service: req.Service, Priority: int32(req.Priority),
+		Affinity: req.Affinity, Zone: req.Zone, TargetMs: req.Target.Milliseconds(), DeadlineMs: -c.age(req.Deadline),
+		Homes: req.Regions, Exclude: req.Exclude, Kind: req.Kind, Hint: req.Hint, Again: req.Retry,
 	}
 }
 
--- a/internal/adapter/registergrpc/codec.go
+++ b/internal/adapter/registergrpc/codec.go
@@ -57,9 +57,9 @@
 	}
 }
 
-func acceptedValueToProto(h register.AcceptedValue) *registerv1.Holding {
+func acceptedValueToProto(v register.AcceptedValue) *registerv1.Holding {
 	return &registerv1.Holding{
-		Accepted: ballotToProto(h.Accepted), Value: valueToProto(h.Value), Committed: h.Committed,
+		Accepted: ballotToProto(v.Accepted), Value: valueToProto(v.Value), Committed: v.Committed,
 	}
 }
 
--- a/internal/app/controller/cluster_test.go
+++ b/internal/app/controller/cluster_test.go
@@ -140,8 +140,8 @@
 	return err
 }
 
-func (l link) Exchange(ctx context.Context, n port.ExchangeRequest) (port.ExchangeReply, error) {
-	return call(ctx, l, func(c *controller.Controller) (port.ExchangeReply, error) { return c.Exchange(ctx, n) })
+func (l link) Exchange(ctx context.Context, m port.ExchangeRequest) (port.ExchangeReply, error) {
+	return call(ctx, l, func(c *controller.Controller) (port.ExchangeReply, error) { return c.Exchange(ctx, m) })
 }
 
 func (l link) Order(ctx context.Context, o fleet.Order) (port.OrderReply, error) {
--- a/internal/app/controller/dispatch.go
+++ b/internal/app/controller/dispatch.go
@@ -248,10 +248,10 @@
 }
 
 // Acquire implements port.ControllerLink.
-func (c *Controller) Acquire(ctx context.Context, a port.SlotRequest) (dispatch.Decision, error) {
-	decision, wait, err := c.acquire(a)
+func (c *Controller) Acquire(ctx context.Context, req port.SlotRequest) (dispatch.Decision, error) {
+	decision, wait, err := c.acquire(req)
 	if err != nil || wait == nil {
-		c.recordDecision(a, decision, err)
+		c.recordDecision(req, decision, err)
 		return decision, err
 	}
 	select {
@@ -259,50 +259,50 @@
 		if !ok {
 			return dispatch.Decision{}, fmt.Errorf("%w: its dispatch ended while the request waited", port.ErrNotDispatcher)
 		}
-		c.recordDecision(a, d, nil)
+		c.recordDecision(req, d, nil)
 		return d, nil
 	case <-ctx.Done():
-		c.cancel(a, wait)
+		c.cancel(req, wait)
 		return dispatch.Decision{}, ctx.Err()
 	}
 }
 
-func (c *Controller) recordDecision(a port.SlotRequest, d dispatch.Decision, err error) {
+func (c *Controller) recordDecision(req port.SlotRequest, d dispatch.Decision, err error) {
 	if err == nil {
-		c.ports.Meter.RecordDecision(a.Service, string(d.Reason))
+		c.ports.Meter.RecordDecision(req.Service, string(d.Reason))
 	}
 }
 
 // acquire decides a request at once, or returns the channel on which the
 // decision is sent.
-func (c *Controller) acquire(a port.SlotRequest) (dispatch.Decision, chan dispatch.Decision, error) {
+func (c *Controller) acquire(req port.SlotRequest) (dispatch.Decision, chan dispatch.Decision, error) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := c.regions[a.Region]
+	r := c.regions[req.Region]
 	if r == nil || r.pool == nil {
-		return dispatch.Decision{}, nil, fmt.Errorf("%w: %q", port.ErrNotDispatcher, a.Region)
+		return dispatch.Decision{}, nil, fmt.Errorf("%w: %q", port.ErrNotDispatcher, req.Region)
 	}
-	if d, decided := r.pool.Acquire(now, a.SlotRequest); decided {
+	if d, decided := r.pool.Acquire(now, req.SlotRequest); decided {
 		return d, nil, nil
 	}
 	wait := make(chan dispatch.Decision, 1)
-	r.waiting[a.ID] = wait
+	r.waiting[req.ID] = wait
 	return dispatch.Decision{}, wait, nil
 }
 
 // cancel withdraws a slot request whose gateway no longer waits, and releases
 // a slot that was granted meanwhile.
-func (c *Controller) cancel(a port.SlotRequest, wait chan dispatch.Decision) {
+func (c *Controller) cancel(req port.SlotRequest, wait chan dispatch.Decision) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := c.regions[a.Region]
+	r := c.regions[req.Region]
 	if r.pool == nil {
 		return
 	}
-	delete(r.waiting, a.ID)
-	r.pool.Cancel(a.Service, a.ID)
+	delete(r.waiting, req.ID)
+	r.pool.Cancel(req.Service, req.ID)
 	select {
 	case d, ok := <-wait:
 		if ok && d.Grant != "" {
--- a/internal/app/controller/peers.go
+++ b/internal/app/controller/peers.go
@@ -173,23 +173,23 @@
 // here that the peer hasn't acknowledged, or all if it has acknowledged none.
 // Must hold mu.
 func (c *Controller) exchange(now time.Time, p *peer) port.ExchangeRequest {
-	n := port.ExchangeRequest{
+	m := port.ExchangeRequest{
 		From: c.self(now), Controllers: c.liveControllers(now), Gateways: c.ownGateways(now),
 		VoteRequests: c.requestedRegions(now), VoteReleases: c.releasedRegions(), FullSync: p.acked == 0,
 	}
 	if p.acked == 0 {
-		n.Endpoints, _ = c.endpoints.Since(0)
-		return n
+		m.Endpoints, _ = c.endpoints.Since(0)
+		return m
 	}
 	for id, seq := range c.localAnnounceSeq {
 		if seq <= p.acked {
 			continue
 		}
 		if e, ok := c.endpoints.Get(id); ok {
-			n.Endpoints = append(n.Endpoints, e)
+			m.Endpoints = append(m.Endpoints, e)
 		}
 	}
-	return n
+	return m
 }
 
 // liveControllers returns the other controllers that are live. Must hold mu.
@@ -204,9 +204,9 @@
 }
 
 // sendExchange sends a message to a peer and records its answer.
-func (c *Controller) sendExchange(ctx context.Context, p *peer, n port.ExchangeRequest, acked uint64) (port.ExchangeReply, error) {
+func (c *Controller) sendExchange(ctx context.Context, p *peer, m port.ExchangeRequest, acked uint64) (port.ExchangeReply, error) {
 	sentAt := c.ports.Clock.Now()
-	reply, err := p.link.Exchange(ctx, n)
+	reply, err := p.link.Exchange(ctx, m)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.inFlight = false
@@ -245,32 +245,32 @@
 }
 
 // Exchange implements port.ControllerPeer.
-func (c *Controller) Exchange(_ context.Context, n port.ExchangeRequest) (port.ExchangeReply, error) {
+func (c *Controller) Exchange(_ context.Context, m port.ExchangeRequest) (port.ExchangeReply, error) {
 	now := c.ports.Clock.Now()
 	savedState := c.voter.savedState()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addPeers(append(n.Controllers, n.From))
-	for _, g := range n.Gateways {
+	c.addPeers(append(m.Controllers, m.From))
+	for _, g := range m.Gateways {
 		c.learnGateway(g)
 	}
-	for _, e := range n.Endpoints {
+	for _, e := range m.Endpoints {
 		c.learnEndpoint(e)
 	}
-	c.recordShares(now, n)
+	c.recordShares(now, m)
 	reply := port.ExchangeReply{
 		From: c.self(now), Epoch: savedState.Epoch, Accepted: savedState.Accepted.Ballot,
 		Controllers: c.liveControllers(now), HeldLeases: c.heldLeases(now),
 	}
-	for _, name := range n.VoteReleases {
-		c.grantedVotes.ReleaseVote(name, n.From.Address)
+	for _, name := range m.VoteReleases {
+		c.grantedVotes.ReleaseVote(name, m.From.Address)
 	}
-	for _, name := range n.VoteRequests {
-		if c.grantedVotes.RequestVote(now, name, n.From.Address) {
+	for _, name := range m.VoteRequests {
+		if c.grantedVotes.RequestVote(now, name, m.From.Address) {
 			reply.Grants = append(reply.Grants, name)
 		}
 	}
-	if n.FullSync {
+	if m.FullSync {
 		reply.Endpoints, _ = c.endpoints.Since(0)
 	}
 	return reply, nil
--- a/internal/app/controller/shares.go
+++ b/internal/app/controller/shares.go
@@ -125,13 +125,13 @@
 
 // recordShares records the loads and loans that another controller reported of
 // the regions that it dispatches. Must hold mu.
-func (c *Controller) recordShares(now time.Time, n port.ExchangeRequest) {
-	c.recordLoads(now, n.Loads)
+func (c *Controller) recordShares(now time.Time, m port.ExchangeRequest) {
+	c.recordLoads(now, m.Loads)
 	lenders := make(map[string][]dispatch.Loan)
-	for _, l := range n.Loads {
+	for _, l := range m.Loads {
 		lenders[l.Region] = nil
 	}
-	for _, l := range n.Loans {
+	for _, l := range m.Loans {
 		lenders[l.Lender] = append(lenders[l.Lender], l)
 	}
 	for lender, loans := range lenders {
--- a/internal/app/entry/ledger.go
+++ b/internal/app/entry/ledger.go
@@ -53,16 +53,16 @@
 	return l.table.Take(now, rules)
 }
 
-func (l *ledger) settle(now time.Time, h *budget.Reservation, bytes int64) {
+func (l *ledger) settle(now time.Time, r *budget.Reservation, bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Settle(now, h, bytes)
+	l.table.Settle(now, r, bytes)
 }
 
-func (l *ledger) release(h *budget.Reservation) {
+func (l *ledger) release(r *budget.Reservation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Release(h)
+	l.table.Release(r)
 }
 
 func (l *ledger) loanRequests(now time.Time) []budget.BorrowRequest {
--- a/internal/app/entry/suspects.go
+++ b/internal/app/entry/suspects.go
@@ -187,7 +187,7 @@
 		s.table.ApplyLift(now, f, row.Version)
 		return
 	}
-	if !s.table.ApplyChange(f, row.Version) {
+	if !s.table.AcceptChange(f, row.Version) {
 		return
 	}
 	if row.Endpoint != "" {
--- a/internal/app/gateway/serve_test.go
+++ b/internal/app/gateway/serve_test.go
@@ -27,7 +27,7 @@
 	mu       sync.Mutex
 	grants   int
 	released []port.SlotRelease
-	answer   func(a port.SlotRequest) (dispatch.Decision, error)
+	answer   func(req port.SlotRequest) (dispatch.Decision, error)
 }
 
 func (c *fakeController) Watch(ctx context.Context, _ port.Gateway, since port.WatchCursor) (port.Update, error) {
@@ -58,11 +58,11 @@
 	}
 }
 
-func (c *fakeController) Acquire(_ context.Context, a port.SlotRequest) (dispatch.Decision, error) {
+func (c *fakeController) Acquire(_ context.Context, req port.SlotRequest) (dispatch.Decision, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.answer != nil {
-		return c.answer(a)
+		return c.answer(req)
 	}
 	c.grants++
 	ids := []string{"e0", "e1", "e2", "e3"}
@@ -240,8 +240,8 @@
 func TestRetryBudgetUsedUp(t *testing.T) {
 	is := is.New(t)
 	c := &fakeController{}
-	c.answer = func(a port.SlotRequest) (dispatch.Decision, error) {
-		if a.Retry {
+	c.answer = func(req port.SlotRequest) (dispatch.Decision, error) {
+		if req.Retry {
 			return dispatch.Decision{Reason: dispatch.ReasonRetryBudget, RetryAfter: time.Second}, nil
 		}
 		return dispatch.Decision{Grant: "x", Endpoint: registry.Endpoint{ID: "e"}}, nil
--- a/internal/core/admission/faults_test.go
+++ b/internal/core/admission/faults_test.go
@@ -307,8 +307,8 @@
 			b.offer()
 		}
 	}
-	ticket := func(b *harness, own bool, ms int) admission.Ticket {
-		return admission.Ticket{ID: 1 << 40, Local: own, Deadline: b.now.Add(time.Duration(ms) * time.Millisecond)}
+	ticket := func(b *harness, local bool, ms int) admission.Ticket {
+		return admission.Ticket{ID: 1 << 40, Local: local, Deadline: b.now.Add(time.Duration(ms) * time.Millisecond)}
 	}
 	excluded := func(b *harness) admission.Ticket {
 		t := ticket(b, true, 900)
@@ -333,7 +333,7 @@
 		{"spilled below the reserve", 0, func(b *harness) admission.Ticket { return ticket(b, false, 900) }, admission.Granted, ""},
 		{"spilled into the reserve", 1, func(b *harness) admission.Ticket { return ticket(b, false, 900) }, admission.Refused, verdict.ReasonOverload},
 		{"spilled, long deadline", 1, func(b *harness) admission.Ticket { return ticket(b, false, 60_000) }, admission.Queued, ""},
-		{"own into the reserve", 1, func(b *harness) admission.Ticket { return ticket(b, true, 900) }, admission.Granted, ""},
+		{"local into the reserve", 1, func(b *harness) admission.Ticket { return ticket(b, true, 900) }, admission.Granted, ""},
 		{"no other endpoint", 0, excluded, admission.Refused, verdict.ReasonNoEndpoint},
 	}
 	for _, c := range cases {
@@ -352,7 +352,7 @@
 }
 
 // TestOwnTrafficTakesPrecedence guards against spilled-in requests that delay
-// own ones: a spilled-in request is queued first, an own one after it, and
+// local ones: a spilled-in request is queued first, a local one after it, and
 // then a slot is released.
 func TestOwnTrafficTakesPrecedence(t *testing.T) {
 	is := is.New(t)
--- a/internal/core/admission/group.go
+++ b/internal/core/admission/group.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// ownWaitDivisor and spilledWaitDivisor divide the time left before a
+	// localWaitDivisor and spilledWaitDivisor divide the time left before a
 	// request's deadline to get the longest time that it may wait. In a
 	// longer queue every request would be late, and its run would be canceled
 	// halfway.
-	ownWaitDivisor     = 16
+	localWaitDivisor   = 16
 	spilledWaitDivisor = 64
 	// serviceTimeQuantile is the part of the requests that end within the
 	// time that is left for the run after the wait in the queue.
@@ -27,7 +27,7 @@
 	// Deadline is the time after which the answer is useless.
 	Deadline time.Time
 	// Local is true if the request originates in the group's place. Other
-	// requests are spilled in: they come after own ones and leave the reserve
+	// requests are spilled in: they come after local ones and leave the reserve
 	// free.
 	Local bool
 	// Exclude lists endpoints that must not get the request, because an
@@ -94,7 +94,7 @@
 	byID               map[string]*endpoint // includes those that are gone
 	endpoints          []*endpoint          // in use, ordered by ID
 	running            map[uint64]inFlightRequest
-	own                queue
+	local              queue
 	spilled            queue
 	expired            []uint64 // IDs not yet returned by Tick
 	latency            *LatencyWindow
@@ -151,7 +151,7 @@
 		g.expired = slices.Delete(g.expired, at, at+1)
 		return true
 	}
-	return g.own.cancel(id) || g.spilled.cancel(id)
+	return g.local.cancel(id) || g.spilled.cancel(id)
 }
 
 // Done ends a granted request, records its result, and returns the grants of
@@ -189,7 +189,7 @@
 // Stats returns the group's present figures.
 func (g *Group) Stats(_ time.Time) Stats {
 	s := Stats{
-		Queued:       g.own.len() + g.spilled.len(),
+		Queued:       g.local.len() + g.spilled.len(),
 		Latency:      g.latency.Quantile(0.5),
 		ReportsStale: g.reportsStale,
 	}
@@ -205,7 +205,7 @@
 
 func (g *Group) queueFor(t Ticket) *queue {
 	if t.Local {
-		return &g.own
+		return &g.local
 	}
 	return &g.spilled
 }
@@ -216,7 +216,7 @@
 		return true
 	}
 	same := func(t Ticket) bool { return t.ID == id }
-	return slices.ContainsFunc(g.own.tickets, same) ||
+	return slices.ContainsFunc(g.local.tickets, same) ||
 		slices.ContainsFunc(g.spilled.tickets, same)
 }
 
@@ -226,7 +226,7 @@
 	if t.Local {
 		return true
 	}
-	if g.own.len() > 0 {
+	if g.local.len() > 0 {
 		return false
 	}
 	slots, busy := g.capacity()
@@ -246,13 +246,13 @@
 
 // canMeetDeadline estimates whether a request that is queued now ends before
 // its deadline. It is false as well if the queue is full or the expected wait
-// is above the limit for own or spilled-in requests.
+// is above the limit for local or spilled-in requests.
 func (g *Group) canMeetDeadline(now time.Time, t Ticket) bool {
-	waiting := g.own.len() + g.spilled.len()
+	waiting := g.local.len() + g.spilled.len()
 	if waiting >= g.cfg.MaxQueue {
 		return false
 	}
-	ahead := g.own.len()
+	ahead := g.local.len()
 	slots, _ := g.capacity()
 	if !t.Local {
 		ahead = waiting
@@ -264,7 +264,7 @@
 	median := g.latency.Quantile(0.5)
 	wait := median * time.Duration(ahead+1) / time.Duration(slots)
 	left := t.Deadline.Sub(now)
-	maxWait := min(left/ownWaitDivisor, median)
+	maxWait := min(left/localWaitDivisor, median)
 	if !t.Local {
 		maxWait = left / spilledWaitDivisor
 	}
@@ -287,13 +287,13 @@
 // grantQueued expires queued requests that can't end in time, and grants
 // others while there are free slots.
 func (g *Group) grantQueued(now time.Time) []Grant {
-	if g.own.len()+g.spilled.len() == 0 {
+	if g.local.len()+g.spilled.len() == 0 {
 		return nil
 	}
 	serviceTime := g.serviceTime()
-	g.expired = g.own.expire(now, serviceTime, g.expired)
+	g.expired = g.local.expire(now, serviceTime, g.expired)
 	g.expired = g.spilled.expire(now, serviceTime, g.expired)
-	grants := g.grantFromQueue(now, &g.own, nil)
+	grants := g.grantFromQueue(now, &g.local, nil)
 	return g.grantFromQueue(now, &g.spilled, grants)
 }
 
--- a/internal/core/admission/property_test.go
+++ b/internal/core/admission/property_test.go
@@ -81,7 +81,7 @@
 	ticket := admission.Ticket{
 		ID:       m.nextID,
 		Deadline: m.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond),
-		Local:    rapid.Bool().Draw(t, "own"),
+		Local:    rapid.Bool().Draw(t, "local"),
 	}
 	if rapid.Bool().Draw(t, "retry") {
 		ticket.Exclude = []string{"a"}
--- a/internal/core/budget/reservation.go
+++ b/internal/core/budget/reservation.go
@@ -47,15 +47,15 @@
 	return newReservation(parts)
 }
 
-// Settle ends a hold and counts its actual use at the time now, so that it
-// counts for one window from now on. Until now the whole reservation counted.
-// Every window that contains the time at which the units were used therefore
-// counts them, whenever that was since the reservation. bytes is the number of
-// bytes that went over the link: those of the answer if the charge has
-// AnswerBytes, and those of request and answer otherwise.
-func (l *Ledger) Settle(now time.Time, h *Reservation, bytes int64) {
+// Settle ends a reservation and counts its actual use at the time now, so that
+// it counts for one window from now on. Until now the whole reservation
+// counted. Every window that contains the time at which the units were used
+// therefore counts them, whenever that was since the reservation. bytes is the
+// number of bytes that went over the link: those of the answer if the charge
+// has AnswerBytes, and those of request and answer otherwise.
+func (l *Ledger) Settle(now time.Time, r *Reservation, bytes int64) {
 	now = l.monotonic(now)
-	for _, u := range h.parts {
+	for _, u := range r.parts {
 		u.b.reserved -= u.units
 		used := u.units
 		if u.isUpperBound {
@@ -65,9 +65,9 @@
 	}
 }
 
-// Release ends a hold whose units weren't used.
-func (l *Ledger) Release(h *Reservation) {
-	for _, u := range h.parts {
+// Release ends a reservation whose units weren't used.
+func (l *Ledger) Release(r *Reservation) {
+	for _, u := range r.parts {
 		u.b.reserved -= u.units
 	}
 }
--- a/internal/core/dispatch/choose.go
+++ b/internal/core/dispatch/choose.go
@@ -11,13 +11,13 @@
 
 // applyHint records the endpoint that the gateway named for the object, if no
 // other is recorded.
-func (svc *service) applyHint(a SlotRequest) {
-	object := a.object()
-	if a.Hint == "" || object == "" || len(svc.servedBy[object]) > 0 {
+func (svc *service) applyHint(req SlotRequest) {
+	object := req.object()
+	if req.Hint == "" || object == "" || len(svc.servedBy[object]) > 0 {
 		return
 	}
 	for _, s := range svc.servers {
-		if s.endpoint.ID == a.Hint {
+		if s.endpoint.ID == req.Hint {
 			svc.touch(object, s)
 		}
 	}
@@ -53,9 +53,9 @@
 }
 
 // eligible reports whether a slot request may be granted a slot of an endpoint.
-func eligible(now time.Time, s *server, a SlotRequest) bool {
-	return s.usable(now) && !slices.Contains(a.Exclude, s.endpoint.ID) &&
-		(len(a.Regions) == 0 || slices.Contains(a.Regions, s.region))
+func eligible(now time.Time, s *server, req SlotRequest) bool {
+	return s.usable(now) && !slices.Contains(req.Exclude, s.endpoint.ID) &&
+		(len(req.Regions) == 0 || slices.Contains(req.Regions, s.region))
 }
 
 // choose returns the endpoint of the least cost for a slot request, or nil if
@@ -64,15 +64,15 @@
 // maxCopies endpoints keep the object. The endpoint may have no free slot: then
 // the slot request is to wait for one, because a run elsewhere is expected to
 // end later or would exceed maxCopies.
-func (p *Pool) choose(now time.Time, svc *service, a SlotRequest) *server {
-	if s := svc.unusedEndpoint(now, a); s != nil {
+func (p *Pool) choose(now time.Time, svc *service, req SlotRequest) *server {
+	if s := svc.unusedEndpoint(now, req); s != nil {
 		return s
 	}
-	object, k := a.object(), svc.kind(a)
+	object, k := req.object(), svc.kind(req)
 	var bestWarm *server
 	least, copies := math.Inf(1), 0
 	for _, s := range svc.servedBy[object] {
-		if !eligible(now, s, a) || !svc.keepsWarm(s, object) {
+		if !eligible(now, s, req) || !svc.keepsWarm(s, object) {
 			continue
 		}
 		copies++
@@ -83,7 +83,7 @@
 	if bestWarm != nil && (copies >= maxCopies || bestWarm.free(now) && bestWarm.healthy()) {
 		return bestWarm
 	}
-	other, cost := p.choosePlacement(now, svc, a)
+	other, cost := p.choosePlacement(now, svc, req)
 	if bestWarm != nil && least <= cost {
 		return bestWarm
 	}
@@ -93,12 +93,12 @@
 // unusedEndpoint returns an endpoint of the own region that has joined and got
 // no request yet; nil if there is none. It is preferred for the least urgent
 // slot requests, so that added capacity is used.
-func (svc *service) unusedEndpoint(now time.Time, a SlotRequest) *server {
-	if svc.firstServed.IsZero() || now.Sub(svc.firstServed) < preferUnusedAfter || a.Priority < svc.leastUrgent {
+func (svc *service) unusedEndpoint(now time.Time, req SlotRequest) *server {
+	if svc.firstServed.IsZero() || now.Sub(svc.firstServed) < preferUnusedAfter || req.Priority < svc.leastUrgent {
 		return nil
 	}
 	for _, s := range svc.servers {
-		if s.own && s.granted == 0 && s.free(now) && !s.cold(now) && eligible(now, s, a) {
+		if s.own && s.granted == 0 && s.free(now) && !s.cold(now) && eligible(now, s, req) {
 			return s
 		}
 	}
@@ -108,10 +108,10 @@
 // choosePlacement returns an endpoint for an object that isn't warm there,
 // and the least cost. It tries the regions that the limit on shifts allows,
 // then the own region.
-func (p *Pool) choosePlacement(now time.Time, svc *service, a SlotRequest) (*server, float64) {
-	s, cost := svc.cheapest(now, a, func(s *server) bool { return p.mayMove(now, s) })
+func (p *Pool) choosePlacement(now time.Time, svc *service, req SlotRequest) (*server, float64) {
+	s, cost := svc.cheapest(now, req, func(s *server) bool { return p.mayMove(now, s) })
 	if s == nil {
-		return svc.cheapest(now, a, func(s *server) bool { return s.own })
+		return svc.cheapest(now, req, func(s *server) bool { return s.own })
 	}
 	return s, cost
 }
@@ -150,8 +150,8 @@
 // hashing decides among endpoints of about the same cost, so that a new
 // dispatcher without any record finds the object where the previous one
 // placed it.
-func (svc *service) cheapest(now time.Time, a SlotRequest, allowed func(*server) bool) (*server, float64) {
-	k, object := svc.kind(a), a.object()
+func (svc *service) cheapest(now time.Time, req SlotRequest, allowed func(*server) bool) (*server, float64) {
+	k, object := svc.kind(req), req.object()
 	least := math.Inf(1)
 	var compared [maxCompared]*server
 	var costs [maxCompared]float64
@@ -160,7 +160,7 @@
 		if n == maxCompared {
 			break
 		}
-		if eligible(now, s, a) && allowed(s) && !svc.keepsWarm(s, object) {
+		if eligible(now, s, req) && allowed(s) && !svc.keepsWarm(s, object) {
 			compared[n], costs[n] = s, s.cost(now, svc, k, false)
 			least = min(least, costs[n])
 			n++
@@ -189,12 +189,12 @@
 // a free slot even where the cost is high, first at an endpoint that served the
 // object before. A cold run elsewhere needs spare slots, unless the slot
 // request has no object.
-func (p *Pool) grantNowOrRefuse(now time.Time, svc *service, a SlotRequest) Decision {
-	object, k := a.object(), svc.kind(a)
+func (p *Pool) grantNowOrRefuse(now time.Time, svc *service, req SlotRequest) Decision {
+	object, k := req.object(), svc.kind(req)
 	var best *server
 	least := math.Inf(1)
 	consider := func(s *server, warm bool) {
-		if !s.free(now) || !eligible(now, s, a) {
+		if !s.free(now) || !eligible(now, s, req) {
 			return
 		}
 		if cost := s.cost(now, svc, k, warm); cost < least {
@@ -215,7 +215,7 @@
 		}
 	}
 	if best == nil {
-		return p.refuse(now, a, ReasonOverload)
+		return p.refuse(now, req, ReasonOverload)
 	}
-	return p.grant(now, svc, best, a)
+	return p.grant(now, svc, best, req)
 }
--- a/internal/core/dispatch/policies_test.go
+++ b/internal/core/dispatch/policies_test.go
@@ -51,24 +51,24 @@
 // slots.
 const queueFactor = 3
 
-func (b *baseline) grant(i int, a dispatch.SlotRequest) dispatch.Decision {
+func (b *baseline) grant(i int, req dispatch.SlotRequest) dispatch.Decision {
 	b.count++
 	b.busy[i]++
 	grant := fmt.Sprint(b.count)
 	b.endpoints[grant] = i
-	return dispatch.Decision{Request: a, Grant: grant, Endpoint: registry.Endpoint{ID: fmt.Sprintf("e%d", i)}}
+	return dispatch.Decision{Request: req, Grant: grant, Endpoint: registry.Endpoint{ID: fmt.Sprintf("e%d", i)}}
 }
 
-func (b *baseline) Acquire(_ time.Time, a dispatch.SlotRequest) (dispatch.Decision, bool) {
+func (b *baseline) Acquire(_ time.Time, req dispatch.SlotRequest) (dispatch.Decision, bool) {
 	i := b.choose(b)
 	switch {
 	case b.busy[i] < b.slots:
-		return b.grant(i, a), true
+		return b.grant(i, req), true
 	case len(b.queues[i]) < queueFactor*b.slots:
-		b.queues[i] = append(b.queues[i], a)
+		b.queues[i] = append(b.queues[i], req)
 		return dispatch.Decision{}, false
 	default:
-		return dispatch.Decision{Request: a}, true
+		return dispatch.Decision{Request: req}, true
 	}
 }
 
--- a/internal/core/dispatch/pool.go
+++ b/internal/core/dispatch/pool.go
@@ -172,57 +172,57 @@
 
 // Acquire decides a slot request at once, or queues it and returns false.
 // Release or Tick returns the decision of a queued slot request.
-func (p *Pool) Acquire(now time.Time, a SlotRequest) (Decision, bool) {
-	svc := p.service(a.Service)
-	if !a.Retry {
-		svc.load.add(now, svc.kind(a).expected(a.object() != ""))
+func (p *Pool) Acquire(now time.Time, req SlotRequest) (Decision, bool) {
+	svc := p.service(req.Service)
+	if !req.Retry {
+		svc.load.add(now, svc.kind(req).expected(req.object() != ""))
 		svc.retries.countRequest(now, p.config.Retries)
-		svc.leastUrgent = max(svc.leastUrgent, a.Priority)
+		svc.leastUrgent = max(svc.leastUrgent, req.Priority)
 	}
 	if !slices.ContainsFunc(svc.servers, func(s *server) bool { return s.usable(now) }) {
-		return p.refuse(now, a, ReasonNoEndpoint), true
+		return p.refuse(now, req, ReasonNoEndpoint), true
 	}
-	if a.Retry && !svc.retries.take(now, p.config.Retries) {
-		return p.refuse(now, a, ReasonRetryBudget), true
+	if req.Retry && !svc.retries.take(now, p.config.Retries) {
+		return p.refuse(now, req, ReasonRetryBudget), true
 	}
-	svc.applyHint(a)
-	best := p.choose(now, svc, a)
+	svc.applyHint(req)
+	best := p.choose(now, svc, req)
 	if best != nil && best.free(now) {
-		return p.grant(now, svc, best, a), true
+		return p.grant(now, svc, best, req), true
 	}
-	until := now.Add(svc.maxWait(a))
-	if !until.Before(a.Deadline) || !until.After(now) || svc.queueTooLong(a) {
-		return p.grantNowOrRefuse(now, svc, a), true
+	until := now.Add(svc.maxWait(req))
+	if !until.Before(req.Deadline) || !until.After(now) || svc.queueTooLong(req) {
+		return p.grantNowOrRefuse(now, svc, req), true
 	}
-	svc.enqueue(queuedRequest{request: a, until: until, preferred: best})
+	svc.enqueue(queuedRequest{request: req, until: until, preferred: best})
 	return Decision{}, false
 }
 
 // kind returns the statistics of the slot request's kind. A new kind's cold run
 // time is assumed to be the slot request's target.
-func (svc *service) kind(a SlotRequest) *kind {
-	k := svc.kinds[a.Kind]
+func (svc *service) kind(req SlotRequest) *kind {
+	k := svc.kinds[req.Kind]
 	if k == nil {
-		k = &kind{cold: a.Target.Seconds()}
-		svc.kinds[a.Kind] = k
+		k = &kind{cold: req.Target.Seconds()}
+		svc.kinds[req.Kind] = k
 	}
 	return k
 }
 
 // object returns the key of the slot request's object within its service; empty
 // if none.
-func (a SlotRequest) object() string {
-	if a.Affinity == "" {
+func (req SlotRequest) object() string {
+	if req.Affinity == "" {
 		return ""
 	}
-	return a.Kind + "/" + a.Affinity
+	return req.Kind + "/" + req.Affinity
 }
 
-func (p *Pool) grant(now time.Time, svc *service, s *server, a SlotRequest) Decision {
+func (p *Pool) grant(now time.Time, svc *service, s *server, req SlotRequest) Decision {
 	p.grantCount++
 	id := p.prefix + strconv.FormatUint(p.grantCount, 36)
-	object := a.object()
-	g := grant{server: s, service: svc, kind: svc.kind(a), depth: -1, expires: a.Deadline.Add(graceAfterDeadline)}
+	object := req.object()
+	g := grant{server: s, service: svc, kind: svc.kind(req), depth: -1, expires: req.Deadline.Add(graceAfterDeadline)}
 	if depth, known := s.memory.depth(object); known {
 		g.depth = depth
 	}
@@ -230,11 +230,11 @@
 	s.granted++
 	svc.touch(object, s)
 	if s.cold(now) {
-		s.nextColdGrant = now.Add(coldGap(p.config.ColdRate(a.Service)))
+		s.nextColdGrant = now.Add(coldGap(p.config.ColdRate(req.Service)))
 	}
 	p.shift.Count(now, s.region, now.Before(p.shiftSuspendedUntil))
 	p.grants[id] = g
-	return Decision{Request: a, Grant: id, Endpoint: s.endpoint, Region: s.region}
+	return Decision{Request: req, Grant: id, Endpoint: s.endpoint, Region: s.region}
 }
 
 // coldGap returns the time between two requests at a cold endpoint; one
@@ -246,11 +246,11 @@
 	return time.Duration(float64(time.Second) / perSecond)
 }
 
-func (p *Pool) refuse(now time.Time, a SlotRequest, reason Reason) Decision {
-	left := a.Deadline.Sub(now)
+func (p *Pool) refuse(now time.Time, req SlotRequest, reason Reason) Decision {
+	left := req.Deadline.Sub(now)
 	limit := left / retryAfterDivisor
 	after := time.Duration((0.7 + 0.3*p.config.Random()) * float64(limit))
-	return Decision{Request: a, Reason: reason, RetryAfter: max(after, minRetryAfter)}
+	return Decision{Request: req, Reason: reason, RetryAfter: max(after, minRetryAfter)}
 }
 
 // Release ends a grant, records its outcome and the time that it took, and
--- a/internal/core/dispatch/queue.go
+++ b/internal/core/dispatch/queue.go
@@ -42,21 +42,21 @@
 
 // maxWait returns how long a slot request may wait: until the answer, with the
 // object warm, would miss the target, but at least minWaitShare of the target.
-func (svc *service) maxWait(a SlotRequest) time.Duration {
-	run := time.Duration(svc.kind(a).expected(a.object() != "") * float64(time.Second))
-	return max(a.Target-run, time.Duration(minWaitShare*float64(a.Target)))
+func (svc *service) maxWait(req SlotRequest) time.Duration {
+	run := time.Duration(svc.kind(req).expected(req.object() != "") * float64(time.Second))
+	return max(req.Target-run, time.Duration(minWaitShare*float64(req.Target)))
 }
 
 // queueTooLong reports whether the slot requests that go first are expected to
 // take all slots that become free in the time that the slot request may wait.
-func (svc *service) queueTooLong(a SlotRequest) bool {
+func (svc *service) queueTooLong(req SlotRequest) bool {
 	if len(svc.queue) == 0 || svc.slotTime == 0 {
 		return false
 	}
-	ahead, _ := slices.BinarySearchFunc(svc.queue, a.Priority+1, func(w queuedRequest, priority int) int {
+	ahead, _ := slices.BinarySearchFunc(svc.queue, req.Priority+1, func(w queuedRequest, priority int) int {
 		return cmp.Compare(w.request.Priority, priority)
 	})
-	return float64(ahead+1) > float64(svc.slots)/svc.slotTime*svc.maxWait(a).Seconds()
+	return float64(ahead+1) > float64(svc.slots)/svc.slotTime*svc.maxWait(req).Seconds()
 }
 
 // grantQueuedAt grants the free slots of one endpoint to the slot requests that
--- a/internal/core/dispatch/warm_test.go
+++ b/internal/core/dispatch/warm_test.go
@@ -69,7 +69,7 @@
 
 // policy grants or refuses slots; a Pool is one.
 type policy interface {
-	Acquire(now time.Time, a dispatch.SlotRequest) (dispatch.Decision, bool)
+	Acquire(now time.Time, req dispatch.SlotRequest) (dispatch.Decision, bool)
 	Release(now time.Time, id string, outcome dispatch.Outcome, took time.Duration) []dispatch.Decision
 	Tick(now time.Time) []dispatch.Decision
 }
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -45,22 +45,22 @@
 // whether the vote is granted. It is refused for one Term after the voter's
 // start, and while another candidate has an unexpired vote. A candidate that
 // already has the vote gets it for another Term from now.
-func (b *GrantedVotes) RequestVote(now time.Time, region, candidate string) bool {
-	if now.Before(b.mayVoteAt) {
+func (g *GrantedVotes) RequestVote(now time.Time, region, candidate string) bool {
+	if now.Before(g.mayVoteAt) {
 		return false
 	}
-	if v := b.votes[region]; v.holder != candidate && now.Before(v.until) {
+	if v := g.votes[region]; v.holder != candidate && now.Before(v.until) {
 		return false
 	}
-	b.votes[region] = vote{candidate, now.Add(Term)}
+	g.votes[region] = vote{candidate, now.Add(Term)}
 	return true
 }
 
 // ReleaseVote releases the vote for a region if holder has it, so that another
 // candidate can get it before the term ends.
-func (b *GrantedVotes) ReleaseVote(region, holder string) {
-	if b.votes[region].holder == holder {
-		delete(b.votes, region)
+func (g *GrantedVotes) ReleaseVote(region, holder string) {
+	if g.votes[region].holder == holder {
+		delete(g.votes, region)
 	}
 }
 
--- a/internal/core/quarantine/order.go
+++ b/internal/core/quarantine/order.go
@@ -83,9 +83,10 @@
 	t.recordLift(now, r, version)
 }
 
-// ApplyChange reports whether a change made by another entry is to be applied;
-// one that isn't newer than the newest lift isn't.
-func (t *Table) ApplyChange(f fingerprint.Fingerprint, version uint64) bool {
+// AcceptChange records the version of a change made by another entry and
+// reports whether the change is to be applied; one that isn't newer than the
+// newest lift isn't.
+func (t *Table) AcceptChange(f fingerprint.Fingerprint, version uint64) bool {
 	r := t.records[f]
 	if r != nil && version <= r.lifted {
 		return false
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -246,7 +246,7 @@
 	const at = uint64(1_000_000_000_000) // epoch in microseconds
 	type B = *testTable
 	applyChange := func(b B, version uint64) {
-		if b.ApplyChange(poison, version) {
+		if b.AcceptChange(poison, version) {
 			b.Add(b.now, poison, cfg.Hold)
 		}
 	}
--- a/internal/core/quorum/attempt.go
+++ b/internal/core/quorum/attempt.go
@@ -26,20 +26,20 @@
 // Attempt is one read-modify-write of an epoch's register under one ballot. It
 // is not safe for concurrent use.
 type Attempt struct {
-	epoch    Epoch
-	ballot   Ballot
-	seed     *Value
-	have     Accepted
-	decide   Decide
-	phase    Phase
-	promised map[string]bool
-	accepted map[string]bool
-	highest  Accepted
-	proposed *Value
-	kept     bool
-	seen     Ballot
-	newer    Epoch
-	err      error
+	epoch       Epoch
+	ballot      Ballot
+	seed        *Value
+	have        Accepted
+	decide      Decide
+	phase       Phase
+	promised    map[string]bool
+	accepted    map[string]bool
+	highest     Accepted
+	proposed    *Value
+	epochSealed bool
+	seen        Ballot
+	newer       Epoch
+	err         error
 }
 
 // NewAttempt returns an attempt under a ballot that no other attempt uses. The
@@ -83,7 +83,7 @@
 func (a *Attempt) propose() bool {
 	a.phase = Accepting
 	if current := a.highest.Value; current != nil && current.Next != nil {
-		a.proposed, a.kept = current, true
+		a.proposed, a.epochSealed = current, true
 		return true
 	}
 	if a.proposed, a.err = a.decide(a.highest.Value); a.err == nil {
@@ -152,7 +152,7 @@
 
 // EpochSealed says that the epoch was already sealed, so that the change wasn't
 // made.
-func (a *Attempt) EpochSealed() bool { return a.kept }
+func (a *Attempt) EpochSealed() bool { return a.epochSealed }
 
 // Result returns the proposed value and the attempt's ballot. In phase Chosen the
 // value was chosen.
--- a/internal/core/register/acceptor.go
+++ b/internal/core/register/acceptor.go
@@ -58,11 +58,11 @@
 }
 
 func (a *Acceptor) acceptedValue(have Ballot) AcceptedValue {
-	h := AcceptedValue{Accepted: a.state.Accepted, Committed: a.state.Committed == a.state.Accepted}
+	v := AcceptedValue{Accepted: a.state.Accepted, Committed: a.state.Committed == a.state.Accepted}
 	if have != a.state.Accepted {
-		h.Value = a.state.Value
+		v.Value = a.state.Value
 	}
-	return h
+	return v
 }
 
 // Prepare promises to ignore lower ballots, or refuses if a higher one was
--- a/internal/core/register/read.go
+++ b/internal/core/register/read.go
@@ -72,8 +72,8 @@
 // Known returns the newest value that the reports show to be chosen, even without a
 // quorum of reports. It need not be the newest chosen value.
 func (r *Read) Known() (AcceptedValue, bool) {
-	if h, chosen := r.Chosen(); chosen {
-		return h, true
+	if v, chosen := r.Chosen(); chosen {
+		return v, true
 	}
 	return r.known, r.known.Committed
 }
--- a/internal/port/fleet.go
+++ b/internal/port/fleet.go
@@ -107,7 +107,7 @@
 	Prepare(ctx context.Context, m quorum.Prepare) (quorum.Promise, error)
 	Accept(ctx context.Context, m quorum.Accept) (*quorum.Refusal, error)
 	Learn(ctx context.Context, epoch quorum.Epoch, chosen quorum.Accepted) error
-	Exchange(ctx context.Context, n ExchangeRequest) (ExchangeReply, error)
+	Exchange(ctx context.Context, m ExchangeRequest) (ExchangeReply, error)
 	// Order makes an order durable; the error wraps ErrUnconfirmed.
 	Order(ctx context.Context, o fleet.Order) (OrderReply, error)
 }
@@ -162,7 +162,7 @@
 	// cursor. The controller holds the call for a short time until there is a
 	// change.
 	Watch(ctx context.Context, g Gateway, since WatchCursor) (Update, error)
-	Acquire(ctx context.Context, a SlotRequest) (dispatch.Decision, error)
+	Acquire(ctx context.Context, req SlotRequest) (dispatch.Decision, error)
 	Release(ctx context.Context, r []SlotRelease) error
 }
 
