--- a/internal/app/controller/confirm.go
+++ b/internal/app/controller/confirm.go
@@ -10,10 +10,10 @@
 
 const (
 	// catchUpDelay is how long a later value may be in transit before the
-	// coordinator reads the register for it.
+	// distinguished proposer reads the register for it.
 	catchUpDelay = 400 * time.Millisecond
 	// catchUpDelayOthers is the same for the other controllers, so that the
-	// coordinator reads first.
+	// distinguished proposer reads first.
 	catchUpDelayOthers = 1500 * time.Millisecond
 )
 
@@ -72,7 +72,7 @@
 	}
 	delay := catchUpDelay
 	switch {
-	case c.coordinator(now) != c.config.Address:
+	case c.distinguishedProposer(now) != c.config.Address:
 		delay = catchUpDelayOthers
 	case c.chosen.Value == nil:
 		delay = 0 // at a start no other controller can be expected to send the value
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -33,7 +33,7 @@
 	// itself is remembered, so that a late announcement of it is recognized as
 	// old.
 	endpointRetention = 60 * time.Second
-	// tickPeriod is the time between two checks of waiting requests.
+	// tickPeriod is the time between two checks of queued slot requests.
 	tickPeriod = 20 * time.Millisecond
 )
 
@@ -52,7 +52,8 @@
 	// Retries bounds the retries in the whole system.
 	Retries dispatch.RetryBudget
 	// MaxShift bounds the share of a region's requests that may change the
-	// region in which they run from one window to the next; 0 sets no bound.
+	// region in which they run from one window of two seconds to the next; 0
+	// sets no bound.
 	MaxShift float64
 	// Bootstrap is set when the system starts for the first time.
 	Bootstrap bool
@@ -169,7 +170,7 @@
 	group.Wait()
 }
 
-// Stop makes the controller give up its leases and change no voters any more,
+// Stop makes the controller give up its leases and no longer change the voters,
 // so that others take over.
 func (c *Controller) Stop() {
 	c.mu.Lock()
--- a/internal/app/controller/dispatch.go
+++ b/internal/app/controller/dispatch.go
@@ -26,9 +26,9 @@
 	// that lease ends.
 	holder string
 	until  time.Time
-	// resigned means that the other controllers are to drop their votes for
-	// this controller.
-	resigned bool
+	// releasesVotes means that the next exchange releases the votes that the
+	// other controllers granted this one.
+	releasesVotes bool
 }
 
 // voterAddresses returns the addresses of the epoch's voters. Must hold mu.
@@ -48,7 +48,7 @@
 		if holds && !c.shouldDispatch(now, r) {
 			r.candidate.DiscardVotes()
 			c.grantedVotes.ReleaseVote(r.name, c.config.Address)
-			r.resigned = true
+			r.releasesVotes = true
 			holds = false
 		}
 		if holds {
@@ -94,9 +94,9 @@
 	}
 }
 
-// noteMembershipChange reports to the pools that controllers became
-// unreachable or reachable again. Must hold mu.
-func (c *Controller) noteMembershipChange(now time.Time) {
+// suspendShiftLimits suspends the pools' limits on shifts between regions,
+// because controllers became unreachable or reachable again. Must hold mu.
+func (c *Controller) suspendShiftLimits(now time.Time) {
 	for _, r := range c.regions {
 		if r.pool != nil {
 			r.pool.SuspendShiftLimit(now)
@@ -111,7 +111,7 @@
 	all, _ := c.endpoints.Since(0)
 	for _, e := range all {
 		if c.mayServe(e) {
-			r.pool.Learn(now, e)
+			r.pool.Update(now, e)
 		}
 	}
 	for lender, reported := range c.loans {
@@ -150,15 +150,15 @@
 		switch {
 		case r.pool == nil:
 		case c.mayServe(e):
-			r.pool.Learn(now, e)
+			r.pool.Update(now, e)
 		default:
-			r.pool.Forget(now, e.ID)
+			r.pool.Remove(now, e.ID)
 		}
 	}
 }
 
 // shouldDispatch reports whether this controller should dispatch a region: the
-// first live controller in the region by the order of lease.Before, or the
+// first live controller in the region by the order of lease.Precedes, or the
 // first of all if the region has none. A controller of the region that holds a
 // majority keeps the region. Without a majority it yields to the first one:
 // two that both stayed would split the votes for good. Must hold mu.
@@ -192,23 +192,23 @@
 	return out
 }
 
-// releasedRegions returns the regions for which other controllers are to drop
-// their votes for this one. Must hold mu.
+// releasedRegions returns the regions for which this controller releases the
+// votes that others granted it. Must hold mu.
 func (c *Controller) releasedRegions() []string {
 	var out []string
 	for name, r := range c.regions {
-		if r.resigned {
+		if r.releasesVotes {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// clearReleased marks the resignations as sent. A peer that missed one keeps
-// its vote until the term ends. Must hold mu.
+// clearReleased marks the releases of votes as sent. The vote of a peer that
+// misses one binds it until the term ends. Must hold mu.
 func (c *Controller) clearReleased() {
 	for _, r := range c.regions {
-		r.resigned = false
+		r.releasesVotes = false
 	}
 }
 
@@ -257,7 +257,7 @@
 	select {
 	case d, ok := <-wait:
 		if !ok {
-			return dispatch.Decision{}, fmt.Errorf("%w: its dispatch ended while the request waited", port.ErrNotDispatcher)
+			return dispatch.Decision{}, fmt.Errorf("%w: the dispatch ended while the slot request waited", port.ErrNotDispatcher)
 		}
 		c.recordDecision(req, d, nil)
 		return d, nil
@@ -273,7 +273,7 @@
 	}
 }
 
-// acquire decides a request at once, or returns the channel on which the
+// acquire decides a slot request at once, or returns the channel on which the
 // decision is sent.
 func (c *Controller) acquire(req port.SlotRequest) (dispatch.Decision, chan dispatch.Decision, error) {
 	now := c.ports.Clock.Now()
@@ -336,7 +336,8 @@
 }
 
 // tick ends the dispatch of regions that this controller may no longer
-// dispatch, and waits and grants that have timed out.
+// dispatch. In the others it removes expired grants and sends the decisions of
+// queued slot requests that got a slot or may not wait any longer.
 func (c *Controller) tick() {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
--- a/internal/app/controller/endpoints.go
+++ b/internal/app/controller/endpoints.go
@@ -51,15 +51,15 @@
 // receiveAnnouncement records an announcement that was made to this
 // controller, so that it is passed on to the others. Must hold mu.
 func (c *Controller) receiveAnnouncement(e registry.Endpoint) {
-	if c.learnEndpoint(e) {
+	if c.recordEndpoint(e) {
 		c.announceSeq++
 		c.localAnnounceSeq[e.ID] = c.announceSeq
 	}
 }
 
-// learnEndpoint records an announcement, made to this controller or passed on,
+// recordEndpoint records an announcement, made to this controller or passed on,
 // and reports whether it changed the registry. Must hold mu.
-func (c *Controller) learnEndpoint(e registry.Endpoint) bool {
+func (c *Controller) recordEndpoint(e registry.Endpoint) bool {
 	before, known := c.endpoints.Get(e.ID)
 	if !c.endpoints.Record(e) {
 		return false
@@ -82,7 +82,7 @@
 		delete(c.localAnnounceSeq, e.ID)
 		for _, r := range c.regions {
 			if r.pool != nil {
-				r.pool.Forget(now, e.ID)
+				r.pool.Remove(now, e.ID)
 			}
 		}
 	}
--- a/internal/app/controller/shares.go
+++ b/internal/app/controller/loans.go
@@ -27,9 +27,10 @@
 	at time.Time
 }
 
-// computeShares returns the loads and loans of the regions that this
-// controller dispatches. Must hold mu.
-func (c *Controller) computeShares(now time.Time) (loads []dispatch.Load, loans []dispatch.Loan) {
+// updateLoans updates the loans of the regions that this controller dispatches
+// by the loads of all regions, and returns these regions' loads and loans. Must
+// hold mu.
+func (c *Controller) updateLoans(now time.Time) (loads []dispatch.Load, loans []dispatch.Loan) {
 	for _, name := range sortedKeys(c.regions) {
 		if r := c.regions[name]; r.pool != nil {
 			loads = append(loads, r.pool.Loads(now, c.countGateways(now, name))...)
@@ -123,9 +124,9 @@
 	}
 }
 
-// recordShares records the loads and loans that another controller reported of
-// the regions that it dispatches. Must hold mu.
-func (c *Controller) recordShares(now time.Time, m port.ExchangeRequest) {
+// recordLoadsAndLoans records the loads and loans that another controller
+// reported of the regions that it dispatches. Must hold mu.
+func (c *Controller) recordLoadsAndLoans(now time.Time, m port.ExchangeRequest) {
 	c.recordLoads(now, m.Loads)
 	lenders := make(map[string][]dispatch.Loan)
 	for _, l := range m.Loads {
--- a/internal/app/controller/orders.go
+++ b/internal/app/controller/orders.go
@@ -17,7 +17,7 @@
 	// orderTimeout bounds the time in which an order is made durable.
 	orderTimeout = 4 * time.Second
 	// forwardTimeout bounds the call that forwards an order to the
-	// coordinator.
+	// distinguished proposer.
 	forwardTimeout = 2500 * time.Millisecond
 	// readTimeout bounds the time in which a quorum confirms a read.
 	readTimeout = 900 * time.Millisecond
@@ -30,7 +30,7 @@
 	}
 	err := c.order(ctx, fleet.Order{Change: &change})
 	event.Log(ctx, c.ports.Logger, event.ConfigOrdered, slog.Uint64("version", change.Config.Version),
-		slog.Uint64("base", change.Base), slog.Int("routes", len(change.Config.Routes)), errAttr(err))
+		slog.Uint64("base", change.Base), slog.Int("routes", len(change.Config.Routes)), outcomeAttr(err))
 	return err
 }
 
@@ -38,11 +38,12 @@
 func (c *Controller) Evacuate(ctx context.Context, zone string, evacuated bool) error {
 	err := c.order(ctx, fleet.Order{Zone: zone, Evacuated: evacuated})
 	event.Log(ctx, c.ports.Logger, event.EvacuationOrdered, slog.String("zone", zone),
-		slog.Bool("evacuated", evacuated), errAttr(err))
+		slog.Bool("evacuated", evacuated), outcomeAttr(err))
 	return err
 }
 
-func errAttr(err error) slog.Attr {
+// outcomeAttr returns the log attribute of an operation's outcome.
+func outcomeAttr(err error) slog.Attr {
 	if err == nil {
 		return slog.String("outcome", "accepted")
 	}
@@ -62,13 +63,13 @@
 	return err
 }
 
-// submit forwards an order to the coordinator, so that proposers don't
-// collide. When that call fails, or no other coordinator is known, this
-// controller makes the order durable itself.
+// submit forwards an order to the distinguished proposer, so that proposers
+// don't collide. This controller makes the order durable itself when that call
+// fails, when it is the distinguished proposer, or when there is none.
 func (c *Controller) submit(ctx context.Context, o fleet.Order) (port.OrderReply, error) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
-	address := c.coordinator(now)
+	address := c.distinguishedProposer(now)
 	c.mu.Unlock()
 	if address != "" && address != c.config.Address {
 		reply, err := c.forwardOrder(ctx, address, o)
--- a/internal/app/controller/peers.go
+++ b/internal/app/controller/peers.go
@@ -102,7 +102,7 @@
 	c.mu.Lock()
 	c.refreshPeers(now)
 	c.updateRegions(now)
-	loads, loans := c.computeShares(now)
+	loads, loans := c.updateLoans(now)
 	type sending struct {
 		p        *peer
 		exchange port.ExchangeRequest
@@ -151,7 +151,7 @@
 		}
 		if lost := !live(now, p.LastSeen); lost != p.lost {
 			p.lost = lost
-			c.noteMembershipChange(now)
+			c.suspendShiftLimits(now)
 			e := event.ControllerFound
 			if lost {
 				e = event.ControllerLost
@@ -174,7 +174,7 @@
 // Must hold mu.
 func (c *Controller) exchange(now time.Time, p *peer) port.ExchangeRequest {
 	m := port.ExchangeRequest{
-		From: c.self(now), Controllers: c.liveControllers(now), Gateways: c.ownGateways(now),
+		From: c.self(now), Controllers: c.liveControllers(now), Gateways: c.watchingGateways(now),
 		VoteRequests: c.requestedRegions(now), VoteReleases: c.releasedRegions(), FullSync: p.acked == 0,
 	}
 	if p.acked == 0 {
@@ -223,7 +223,7 @@
 	c.enterEpoch(reply.Epoch)
 	c.addPeers(reply.Controllers)
 	for _, e := range reply.Endpoints {
-		c.learnEndpoint(e)
+		c.recordEndpoint(e)
 	}
 	for name, r := range c.regions {
 		r.candidate.RecordReply(p.Address, sentAt, slices.Contains(reply.Grants, name))
@@ -252,12 +252,12 @@
 	defer c.mu.Unlock()
 	c.addPeers(append(m.Controllers, m.From))
 	for _, g := range m.Gateways {
-		c.learnGateway(g)
+		c.recordGateway(g)
 	}
 	for _, e := range m.Endpoints {
-		c.learnEndpoint(e)
+		c.recordEndpoint(e)
 	}
-	c.recordShares(now, m)
+	c.recordLoadsAndLoans(now, m)
 	reply := port.ExchangeReply{
 		From: c.self(now), Epoch: savedState.Epoch, Accepted: savedState.Accepted.Ballot,
 		Controllers: c.liveControllers(now), HeldLeases: c.heldLeases(now),
--- a/internal/app/controller/voters.go
+++ b/internal/app/controller/voters.go
@@ -29,8 +29,8 @@
 )
 
 // updateVoters changes the voters when they differ from the live controllers.
-// The coordinator does it; if another controller takes itself for the
-// coordinator too, their ballots collide, which is safe.
+// Only the distinguished proposer does so. Two controllers may each consider
+// themselves that proposer; their ballots then collide, which is safe.
 func (c *Controller) updateVoters(ctx context.Context) {
 	now := c.ports.Clock.Now()
 	c.mu.Lock()
@@ -49,7 +49,7 @@
 		return &quorum.Value{Sequence: current.Sequence, State: current.State, Next: voters}, nil
 	})
 	event.Log(ctx, c.ports.Logger, event.VotersChanged, slog.Uint64("epoch", epoch.Number),
-		slog.Any("voters", voters), errAttr(err))
+		slog.Any("voters", voters), outcomeAttr(err))
 	if err == nil {
 		// The first value of the new epoch has to be sent to its voters.
 		_, _, _ = c.propose(ctx, keepValue)
@@ -57,9 +57,10 @@
 }
 
 // wantedVoters returns the voters that the epoch should have; nil if it has
-// them or this controller isn't the coordinator. Must hold mu.
+// them, this controller isn't the distinguished proposer, or it is stopping.
+// Must hold mu.
 func (c *Controller) wantedVoters(now time.Time) []quorum.Voter {
-	if c.stopping || c.coordinator(now) != c.config.Address {
+	if c.stopping || c.distinguishedProposer(now) != c.config.Address {
 		return nil
 	}
 	voters := slices.Clone(c.epoch.Voters)
@@ -88,9 +89,10 @@
 	return voters
 }
 
-// coordinator returns the address of the first live voter, which makes the
-// changes of the register; empty without a live majority. Must hold mu.
-func (c *Controller) coordinator(now time.Time) string {
+// distinguishedProposer returns the address of the live voter with the lowest
+// address, which is preferred to propose changes of the register; empty without
+// a live majority. Must hold mu.
+func (c *Controller) distinguishedProposer(now time.Time) string {
 	first, alive := "", 0
 	for _, v := range c.epoch.Voters {
 		if c.unreachableFor(now, v) >= livenessTimeout {
--- a/internal/app/controller/watch.go
+++ b/internal/app/controller/watch.go
@@ -19,7 +19,7 @@
 // Watch implements port.ControllerLink.
 func (c *Controller) Watch(ctx context.Context, g port.Gateway, since port.WatchCursor) (port.Update, error) {
 	c.mu.Lock()
-	c.learnGateway(g)
+	c.recordGateway(g)
 	c.watchers[g.Address] = g.LastSeen
 	changed := c.changed
 	update := c.update(since)
@@ -59,9 +59,9 @@
 	return u
 }
 
-// learnGateway records a gateway unless a later report of it is known. Must
+// recordGateway records a gateway unless a later report of it is known. Must
 // hold mu.
-func (c *Controller) learnGateway(g port.Gateway) {
+func (c *Controller) recordGateway(g port.Gateway) {
 	old, known := c.gateways[g.Address]
 	if known && (old.Incarnation > g.Incarnation || old.Incarnation == g.Incarnation && old.LastSeen.After(g.LastSeen)) {
 		return
@@ -69,9 +69,10 @@
 	c.gateways[g.Address] = g
 }
 
-// ownGateways returns the gateways that watch this controller. It also removes
-// the gateways that have been unreachable for gatewayRetention. Must hold mu.
-func (c *Controller) ownGateways(now time.Time) []port.Gateway {
+// watchingGateways returns the gateways that watch this controller. It also
+// removes the gateways that have been unreachable for gatewayRetention. Must
+// hold mu.
+func (c *Controller) watchingGateways(now time.Time) []port.Gateway {
 	var out []port.Gateway
 	for address, at := range c.watchers {
 		if !live(now, at) {
--- a/internal/app/gateway/locate.go
+++ b/internal/app/gateway/locate.go
@@ -14,21 +14,22 @@
 
 const (
 	// unresponsiveFor is how long no slots are requested from a controller
-	// that didn't answer: a lease takes about as long to expire.
+	// that didn't answer: most of lease.Term, within which its leases expire.
 	unresponsiveFor = time.Second
 	// maxTimeouts is the number of consecutive timeouts after which a
 	// controller counts as unresponsive: a lost packet alone causes one.
 	maxTimeouts = 3
 	// maxDispatchersTried bounds the controllers that one slot is requested
-	// from: one that holds the region, one whose lease has just ended, one
-	// that takes over.
+	// from: the lease's holder, the controller whose lease has just ended, and
+	// the one that takes over.
 	maxDispatchersTried = 3
 	// maxRememberedObjects bounds the objects whose endpoint is remembered.
 	maxRememberedObjects = 4096
 )
 
 // dispatchersOf returns the controllers to request a region's slots from, the
-// known dispatcher first, then the others in the order of lease.Before.
+// known dispatcher first, then the others in the order of
+// lease.Precedes.
 func (g *Gateway) dispatchersOf(region string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -25,14 +25,15 @@
 	// minTimeLeft is the remaining time below which a request isn't sent to an
 	// endpoint, which couldn't answer in time.
 	minTimeLeft = 30 * time.Millisecond
-	// maxUnreachable is the number of unreachable endpoints that a request
-	// passes over; one more ends it.
+	// maxUnreachable is the number of failures to connect to endpoints up to
+	// which a request is retried; one more ends it.
 	maxUnreachable = 3
 	// minAcquireTimeout is the shortest timeout of a slot request: a few round
 	// trips to another region.
 	minAcquireTimeout = 600 * time.Millisecond
 	// noDispatcherRetry is the retry delay given to clients while no
-	// dispatcher is known: a lease takes about as long to expire.
+	// configuration or no dispatcher is known: a part of lease.Term, within
+	// which the lease of a lost dispatcher expires.
 	noDispatcherRetry = 500 * time.Millisecond
 )
 
@@ -122,8 +123,8 @@
 		case dispatch.ReasonNoEndpoint:
 			reason = verdict.ReasonNoEndpoint
 		case dispatch.ReasonRetryBudget:
-			// The earlier attempts were granted slots, so that slots aren't
-			// what is short.
+			// The earlier attempts were granted slots, so this isn't a lack of
+			// slots.
 			reason, retryAfter = verdict.ReasonShed, refusedRetry
 		}
 		return x.withoutSlot(ctx, reason, nil, retryAfter), false
@@ -188,8 +189,8 @@
 }
 
 // refusedRetry is the retry delay given to a client whose request was granted a
-// slot but didn't run, as when the endpoint refused it: short, since it doesn't
-// have to wait for a slot.
+// slot but didn't run, for instance because the endpoint refused it. It is short,
+// since the client doesn't have to wait for a slot.
 const refusedRetry = 50 * time.Millisecond
 
 // dispatchRetry is the retry delay given to a client for which no slot became
@@ -232,7 +233,7 @@
 }
 
 // chooseDispatchRegion returns the region whose dispatcher is used: the
-// gateway's own, or a random home region of the route if the request may not
+// gateway's own, or a random one of the route's regions if the request may not
 // run in its own.
 func (x *inFlightRequest) chooseDispatchRegion() string {
 	regions := x.route.Regions
--- a/internal/app/gateway/watch.go
+++ b/internal/app/gateway/watch.go
@@ -149,12 +149,13 @@
 	return address
 }
 
-// hasAlternative reports whether a watcher could watch another controller.
-func (g *Gateway) hasAlternative(watcher int, than string) bool {
+// hasAlternative reports whether a watcher could watch another controller than
+// its current one.
+func (g *Gateway) hasAlternative(watcher int, current string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	other := g.bestController(g.ports.Clock.Now(), watcher)
-	return other != "" && other != than
+	return other != "" && other != current
 }
 
 // bestController returns the best controller for a watcher: nearby for the
--- a/internal/core/dispatch/lend.go
+++ b/internal/core/dispatch/lend.go
@@ -23,8 +23,8 @@
 	// because each change abandons warm objects.
 	lendThreshold   = 0.5
 	recallThreshold = 0.75
-	// minLoadShare is the share of all slots below which the needed slots say
-	// little about where the clients are.
+	// minLoadShare is the share of all slots below which the needed slots are too
+	// few to show where the clients are, so that gateways are counted instead.
 	minLoadShare = 0.1
 	// recallInterval is the time between two recalls of a service's
 	// endpoints. Each takes one in recallDivisor of the endpoints that a
@@ -153,8 +153,8 @@
 			gateways += float64(l.Gateways)
 		}
 	}
-	expected := need < minLoadShare*slots && gateways > 0
-	if expected {
+	byGateways := need < minLoadShare*slots && gateways > 0
+	if byGateways {
 		need = slots
 	}
 	if need <= 0 {
@@ -164,7 +164,7 @@
 	surplus, all := 0.0, 0.0
 	missing := make(map[string]float64)
 	for _, l := range loads {
-		if expected {
+		if byGateways {
 			l.Need = slots * float64(l.Gateways) / gateways
 		}
 		excess := float64(l.Slots) - fraction*l.Need
--- a/internal/core/dispatch/lend_test.go
+++ b/internal/core/dispatch/lend_test.go
@@ -23,7 +23,7 @@
 	})
 	for region, n := range endpoints {
 		for i := range n {
-			pool.Learn(now, registry.Endpoint{
+			pool.Update(now, registry.Endpoint{
 				ID: fmt.Sprintf("%s%d", region, i), Zone: region, Service: "s", Slots: 4, StartedMillis: 1, LastSeen: now,
 			})
 		}
@@ -258,10 +258,10 @@
 	is.True(s.lent("few") >= 4)
 }
 
-// TestEndpointGoneWithQueuedAsk guards against a grant at an endpoint that has
+// TestEndpointGoneWithQueuedRequest guards against a grant at an endpoint that has
 // gone: the endpoint goes while a slot request is queued for it, and one of its
 // slots is released afterwards.
-func TestEndpointGoneWithQueuedAsk(t *testing.T) {
+func TestEndpointGoneWithQueuedRequest(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	pool := regionPool(now, "big", map[string]int{"big": 1})
@@ -274,7 +274,7 @@
 		grants = append(grants, d.Grant)
 	}
 	e := registry.Endpoint{ID: "big0", Zone: "big", Service: "s", Slots: 4, StartedMillis: 1, Leaving: true, Gone: true, LastSeen: now}
-	pool.Learn(now, e)
+	pool.Update(now, e)
 	is.Equal(len(pool.Release(now, grants[0], dispatch.Served, time.Second)), 0)
 }
 
@@ -297,7 +297,7 @@
 	now = now.Add(dispatch.LoanTerm)
 	is.True(!request("after"))
 	pool.Borrow(now, dispatch.Loan{Lender: "big", Borrower: "few", Endpoints: []string{"big0"}})
-	pool.Learn(now, registry.Endpoint{
+	pool.Update(now, registry.Endpoint{
 		ID: "big0", Zone: "big", Service: "s", Slots: 4, StartedMillis: 1, Sequence: 2, LastSeen: now, ColdUntil: now.Add(time.Second),
 	})
 	is.True(!request("cold"))
--- a/internal/core/dispatch/pool.go
+++ b/internal/core/dispatch/pool.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// Learn applies an announcement of an endpoint in any region. The grants of
+// Update applies an announcement of an endpoint in any region. The grants of
 // an endpoint that is gone stay until they are released or expire.
-func (p *Pool) Learn(now time.Time, e registry.Endpoint) {
+func (p *Pool) Update(now time.Time, e registry.Endpoint) {
 	old := p.servers[e.ID]
 	if old != nil && old.endpoint.Service == e.Service && old.endpoint.StartedMillis == e.StartedMillis && !e.Gone {
 		if e.Leaving && !old.endpoint.Leaving {
@@ -93,7 +93,7 @@
 		old.endpoint = e
 		return
 	}
-	p.Forget(now, e.ID)
+	p.Remove(now, e.ID)
 	if e.Gone {
 		return
 	}
@@ -108,8 +108,8 @@
 	svc.ranked = append(svc.ranked, s)
 }
 
-// Forget removes an endpoint.
-func (p *Pool) Forget(now time.Time, id string) {
+// Remove removes an endpoint.
+func (p *Pool) Remove(now time.Time, id string) {
 	s := p.servers[id]
 	if s == nil {
 		return
--- a/internal/core/dispatch/refusal_test.go
+++ b/internal/core/dispatch/refusal_test.go
@@ -58,7 +58,7 @@
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	pool := regionPool(now, "own", map[string]int{"own": 0})
-	pool.Learn(now, registry.Endpoint{ID: "e", Zone: "own", Service: "s", Slots: 1, StartedMillis: 1, LastSeen: now})
+	pool.Update(now, registry.Endpoint{ID: "e", Zone: "own", Service: "s", Slots: 1, StartedMillis: 1, LastSeen: now})
 	request := dispatch.SlotRequest{ID: "a", Service: "s", Target: 300 * time.Millisecond, Deadline: now.Add(2 * time.Second)}
 	d, _ := pool.Acquire(now, request)
 	pool.Release(now, d.Grant, dispatch.Refused, time.Millisecond)
--- a/internal/core/dispatch/retry_test.go
+++ b/internal/core/dispatch/retry_test.go
@@ -22,7 +22,7 @@
 	})
 	now := time.Unix(1_800_000_000, 0)
 	for i := range 10 {
-		pool.Learn(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: 9, StartedMillis: 1, LastSeen: now})
+		pool.Update(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: 9, StartedMillis: 1, LastSeen: now})
 	}
 	var retries []time.Time
 	requests := 0
--- a/internal/core/dispatch/server.go
+++ b/internal/core/dispatch/server.go
@@ -117,8 +117,8 @@
 			s.failures += smoothing * (1 - s.failures)
 		}
 	case Broken:
-		// A lost answer or a dropped idle connection says little about the
-		// next request, so there is no pause. If the endpoint's process has
+		// After a lost answer or a dropped idle connection the next request
+		// may well succeed, so there is no pause. If the endpoint's process has
 		// ended, the next connection can't be opened and the outcome is
 		// Unreachable.
 		s.failures += smoothing * (1 - s.failures)
--- a/internal/core/dispatch/shift.go
+++ b/internal/core/dispatch/shift.go
@@ -50,7 +50,8 @@
 }
 
 // NewShiftMeter returns a meter that lets the share maxShift of the requests
-// change its region from one window to the next; 0 sets no limit.
+// change its region from one window of two seconds to the next; 0 sets no
+// limit.
 func NewShiftMeter(maxShift float64) *ShiftMeter {
 	return &ShiftMeter{maxShift: maxShift, levels: make(map[string]*shiftLevel)}
 }
--- a/internal/core/dispatch/shift_test.go
+++ b/internal/core/dispatch/shift_test.go
@@ -22,7 +22,7 @@
 	is.True(worstShift(dispatch.NewShiftMeter(0)) > 2*most)
 }
 
-// worstShift runs 60 s in which the region home has capacity for all, half or
+// worstShift runs 60 s in which the region "home" has capacity for all, half or
 // none of its requests in turn, and returns the largest change of a region's
 // share.
 func worstShift(m *dispatch.ShiftMeter) float64 {
--- a/internal/core/dispatch/types.go
+++ b/internal/core/dispatch/types.go
@@ -102,7 +102,8 @@
 	RegionOf  func(zone string) string
 	RoundTrip func(region string) time.Duration
 	// MaxShift limits the share of the requests that may change the region in
-	// which they run from one window to the next; 0 sets no limit.
+	// which they run from one window of two seconds to the next; 0 sets no
+	// limit.
 	MaxShift float64
 }
 
@@ -115,8 +116,8 @@
 	graceAfterDeadline = time.Second
 	// unreachablePause is how long an unreachable endpoint gets no requests.
 	// It doubles with each further failure to connect, until a request is
-	// served, up to unreachablePauseMax, within which a live endpoint has
-	// announced itself again.
+	// served, up to unreachablePauseMax: a live endpoint announces itself again
+	// within that time.
 	unreachablePause    = 300 * time.Millisecond
 	unreachablePauseMax = 2400 * time.Millisecond
 	// maxConnectFailures is the number of failures to connect since the last
--- a/internal/core/dispatch/warm_test.go
+++ b/internal/core/dispatch/warm_test.go
@@ -83,7 +83,7 @@
 		Random: func() float64 { return 0.5 },
 	})
 	for i := range s.endpoints {
-		pool.Learn(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: s.slots, StartedMillis: 1, LastSeen: now})
+		pool.Update(now, registry.Endpoint{ID: fmt.Sprintf("e%d", i), Service: "s", Slots: s.slots, StartedMillis: 1, LastSeen: now})
 	}
 	return s.runOn(now, pool, affinity)
 }
--- a/internal/core/fleet/config.go
+++ b/internal/core/fleet/config.go
@@ -52,7 +52,8 @@
 	Target time.Duration `json:"Target"`
 	// Timeout is the longest time until the client gets an answer.
 	Timeout time.Duration `json:"Timeout"`
-	// Attempts is the largest number of endpoints to which a request is sent.
+	// Attempts bounds the attempts of a request at endpoints. Those that couldn't
+	// connect to the endpoint don't count.
 	Attempts int `json:"Attempts"`
 	// Sticky says that an endpoint serves an object faster if it served it recently
 	// (cache affinity).
--- a/internal/core/fleet/validate.go
+++ b/internal/core/fleet/validate.go
@@ -47,9 +47,9 @@
 	case r.Timeout <= 0 || r.Timeout > maxTimeout:
 		return fmt.Errorf("timeout %v is out of range", r.Timeout)
 	case r.Attempts < 1:
-		return errors.New("no attempts")
+		return errors.New("number of attempts is below 1")
 	case len(r.Parts) == 0:
-		return errors.New("no service")
+		return errors.New("no services in the route")
 	}
 	sum := 0.0
 	for _, p := range r.Parts {
@@ -57,12 +57,12 @@
 			return fmt.Errorf("unknown service %q", p.Service)
 		}
 		if p.Weight < 0 {
-			return fmt.Errorf("weight of %q is below 0", p.Service)
+			return fmt.Errorf("weight of service %q is below 0", p.Service)
 		}
 		sum += p.Weight
 	}
 	if sum <= 0 {
-		return errors.New("weights are all 0")
+		return errors.New("weights of the services are all 0")
 	}
 	return nil
 }
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -79,7 +79,7 @@
 	is.True(!b.Gone)
 }
 
-func TestSignOffAndSweep(t *testing.T) {
+func TestDeregisterAndSweep(t *testing.T) {
 	is := is.New(t)
 	r := registry.New(time.Minute)
 	_, accepted := r.Deregister("a", now)
