--- a/internal/app/entry/claimtable.go
+++ b/internal/app/entry/claimtable.go
@@ -20,7 +20,7 @@
 )
 
 // claimTable guards the claims of this incarnation and wakes resends that wait
-// for the outcome of the attempt in progress.
+// for the outcome of the attempt in flight.
 type claimTable struct {
 	self claims.Coordinator
 
@@ -44,7 +44,7 @@
 }
 
 // begin decides on an attempt; for Wait the channel is closed when the attempt
-// in progress ends and begin may be called again.
+// in flight ends and begin may be called again.
 func (t *claimTable) begin(now time.Time, k claims.Key, f claims.Fingerprint) (claims.Decision, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/app/entry/doc.go
+++ b/internal/app/entry/doc.go
@@ -18,14 +18,15 @@
 //   - Attempt: one try of a request, at an endpoint or through another entry. A run
 //     is an attempt that holds a slot of an endpoint.
 //   - Crossing: a request that is served outside its place of origin. It counts
-//     against the caps of rules and of links between regions.
+//     against the caps of rules and of links between regions. Package admission
+//     calls such a request spilled-in.
 //   - Verdict: Ran, NotRun or MayHaveRun, as reported to the caller.
 //   - Quarantine: the fingerprints of requests that crashed endpoints, which entries
 //     refuse. Entries broadcast changes of it as rows.
-//   - Suspected request: one that lost its connection, or that one death is attributed to.
-//     The entry that ran it may run it again. The others, unless they have recently
-//     received an answer to it, refuse it for remoteHold or until an answer at the
-//     first lifts the suspicion.
+//   - Suspected request: one whose connection to an endpoint broke, or to which one
+//     death of an endpoint is attributed. The entry that ran it may run it again.
+//     Every other entry refuses it, unless it has recently received an answer to it,
+//     until remoteHold has passed or the entry that ran it receives an answer.
 //
 // # Lock order
 //
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -23,8 +23,8 @@
 	peerTimeout = 400 * time.Millisecond
 	// callWorkers bounds the concurrent requests to endpoints.
 	callWorkers = 1024
-	// controlWorkers bounds the concurrent calls of inBackground.
-	controlWorkers = 32
+	// backgroundWorkers bounds the concurrent calls of inBackground.
+	backgroundWorkers = 32
 )
 
 // Config holds the settings of one entry.
@@ -51,7 +51,8 @@
 	Meter     port.Meter
 }
 
-// Entry implements port.Entry and port.PeerHandler.
+// Entry is the process of an entry VM. It implements port.Entry and
+// port.PeerHandler.
 type Entry struct {
 	config Config
 	clock  port.Clock
@@ -75,7 +76,7 @@
 	outbox      *outbox
 
 	calls          *workers.Pool
-	controls       *workers.Pool
+	background     *workers.Pool
 	heartbeatNow   chan struct{}
 	placeNotListed chan struct{} // closed when the first document doesn't list this entry's place
 	stopping       atomic.Bool
@@ -110,7 +111,7 @@
 		retries:        newRetryBudget(),
 		outbox:         newOutbox(),
 		calls:          workers.New(callWorkers),
-		controls:       workers.New(controlWorkers),
+		background:     workers.New(backgroundWorkers),
 		heartbeatNow:   make(chan struct{}, 1),
 		placeNotListed: make(chan struct{}),
 	}
@@ -128,7 +129,7 @@
 	wg.Go(func() { e.broadcastLoop(ctx) })
 	wg.Wait()
 	e.calls.Close()
-	e.controls.Close()
+	e.background.Close()
 }
 
 // PlaceNotListed returns a channel that is closed when the first document of
@@ -154,7 +155,7 @@
 // is dropped if no worker becomes free within that time.
 func (e *Entry) inBackground(ctx context.Context, do func(ctx context.Context)) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
-	err := e.controls.Submit(ctx, func() {
+	err := e.background.Submit(ctx, func() {
 		defer cancel()
 		do(ctx)
 	})
--- a/internal/app/entry/group.go
+++ b/internal/app/entry/group.go
@@ -63,7 +63,7 @@
 	mu      sync.Mutex
 	state   *admission.Group
 	waiting map[uint64]chan admission.Grant // closed without a grant on expiry
-	latency *admission.LatencyWindow
+	latency *admission.LatencyWindow        // includes answers received through other entries
 
 	ticket atomic.Uint64
 }
@@ -200,7 +200,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.latency.Samples() < minHedgeSamples {
-		return coldHedgeDelay
+		return defaultHedgeDelay
 	}
 	return max(minHedgeDelay, g.latency.Quantile(hedgeQuantile))
 }
@@ -211,10 +211,10 @@
 	hedgeQuantile = 0.95
 	// minHedgeDelay is the lower bound of the hedge delay.
 	minHedgeDelay = 10 * time.Millisecond
-	// coldHedgeDelay is the hedge delay while there are fewer than
+	// defaultHedgeDelay is the hedge delay while there are fewer than
 	// minHedgeSamples latencies.
-	coldHedgeDelay  = 200 * time.Millisecond
-	minHedgeSamples = 20
+	defaultHedgeDelay = 200 * time.Millisecond
+	minHedgeSamples   = 20
 )
 
 // contextReason classifies the error of an ended context.
--- a/internal/app/entry/group_test.go
+++ b/internal/app/entry/group_test.go
@@ -71,10 +71,10 @@
 	}
 }
 
-// TestCancelledBeforeCall cancels a request after the grant and before a worker
+// TestCanceledBeforeCall cancels a request after the grant and before a worker
 // sends it. It guards against calling the endpoint for a caller that is gone,
 // and against leaking the slot.
-func TestCancelledBeforeCall(t *testing.T) {
+func TestCanceledBeforeCall(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		is := is.New(t)
 		now := time.Unix(1000, 0)
--- a/internal/app/entry/members.go
+++ b/internal/app/entry/members.go
@@ -83,8 +83,8 @@
 }
 
 // mayLeave reports whether this entry can stop without leaving its place without
-// an owner: another entry of the place may own groups, there is none that will
-// be able to, or this entry may not own groups itself.
+// an owner: another entry of the place may own groups, no other entry could come
+// to own any, or this entry may not own groups itself.
 func (m *members) mayLeave(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,9 +95,9 @@
 // average.
 const roundTripWeight = 8
 
-// noteRoundTrip adds the round trip of a heartbeat to the moving average of a
+// recordRoundTrip adds the round trip of a heartbeat to the moving average of a
 // place.
-func (m *members) noteRoundTrip(place string, took time.Duration) {
+func (m *members) recordRoundTrip(place string, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known, ok := m.roundTrip[place]
@@ -169,7 +169,7 @@
 	if err != nil {
 		return
 	}
-	e.members.noteRoundTrip(target.Peer.Place, e.clock.Now().Sub(sent))
+	e.members.recordRoundTrip(target.Peer.Place, e.clock.Now().Sub(sent))
 	e.receiveHeartbeat(reply)
 }
 
--- a/internal/app/entry/once.go
+++ b/internal/app/entry/once.go
@@ -11,9 +11,9 @@
 	"sassafrasreach/internal/port"
 )
 
-// errAnswerOmitted means that the request ran but its answer was too large to
-// store.
-var errAnswerOmitted = errors.New("the answer was too large to keep")
+// errAnswerOmitted means that the request ran but its answer was not stored,
+// because it was too large or the claims took up too much memory.
+var errAnswerOmitted = errors.New("the answer was not stored: it was too large or the memory for claims was full")
 
 // serveOnce serves a once-only request here if this incarnation is its key's
 // coordinator, else forwards it to the coordinator. With mayForward unset it
@@ -45,8 +45,8 @@
 	}
 }
 
-// errStillRunning means that an earlier attempt of the key is in progress.
-var errStillRunning = errors.New("an earlier attempt of the key is under way")
+// errStillRunning means that an earlier attempt of the key is in flight.
+var errStillRunning = errors.New("an earlier attempt of the key is still in flight")
 
 // runOnce runs the only attempt of a key. The attempt continues when its caller
 // disconnects, so that a resend finds the outcome.
--- a/internal/app/entry/route.go
+++ b/internal/app/entry/route.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxPlaces bounds the places at which routeOnce tries a request.
-	maxPlaces = 4
+	// maxPlacesTried bounds the places at which tryPlaces tries a request.
+	maxPlacesTried = 4
 	// ownerRetryDelay is the delay before a request to a group without an owner
 	// is retried.
 	ownerRetryDelay = 50 * time.Millisecond
@@ -34,7 +34,7 @@
 // before the deadline.
 func (e *Entry) route(ctx context.Context, req *port.Request) (*port.Response, error) {
 	for {
-		response, err := e.routeOnce(ctx, req)
+		response, err := e.tryPlaces(ctx, req)
 		if err == nil || verdict.Of(err) != verdict.NotRun || !errors.Is(err, errOwnerMissing) {
 			return response, err
 		}
@@ -44,10 +44,10 @@
 	}
 }
 
-// routeOnce tries the places in steering order until one runs the request. Only
+// tryPlaces tries the places in steering order until one runs the request. Only
 // NotRun lets it try the next place, unless the request is idempotent;
 // mayRetryElsewhere has the exceptions.
-func (e *Entry) routeOnce(ctx context.Context, req *port.Request) (*port.Response, error) {
+func (e *Entry) tryPlaces(ctx context.Context, req *port.Request) (*port.Response, error) {
 	s, err := e.current()
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	steering.Spread(choices, rand.Uint64())
 	var failure error
 	ownerMissing := false
-	for _, choice := range choices[:min(len(choices), maxPlaces)] {
+	for _, choice := range choices[:min(len(choices), maxPlacesTried)] {
 		response, err := e.sendToOwner(ctx, req, groupKey{req.Service, choice.Place})
 		if err == nil {
 			return response, nil
@@ -151,10 +151,10 @@
 
 // newOwnerForward gives each attempt an ID of its own, by which the owner
 // deduplicates it.
-func newOwnerForward(req *port.Request, key groupKey, fresh bool) port.Forward {
+func newOwnerForward(req *port.Request, key groupKey, newConnection bool) port.Forward {
 	attempt := *req
 	attempt.ID = cryptorand.Text()
-	return port.Forward{Hop: port.HopOwner, Place: key.place, Request: &attempt, NewConnection: fresh}
+	return port.Forward{Hop: port.HopOwner, Place: key.place, Request: &attempt, NewConnection: newConnection}
 }
 
 // forwardHedgeFactor is the number of hedge delays that the forwarding entry
--- a/internal/app/entry/run.go
+++ b/internal/app/entry/run.go
@@ -12,8 +12,8 @@
 )
 
 // admitRun waits for a slot and for admission by the quarantine. While the
-// quarantine allows no further run, because others of the same fingerprint are in
-// progress, it releases the slot, waits for a change, and requests a slot again.
+// quarantine allows no further run, because others of the same fingerprint have
+// not ended, it releases the slot, waits for a change, and requests a slot again.
 func (e *Entry) admitRun(ctx context.Context, o ownedRequest, t admission.Ticket) (*endpointRun, error) {
 	for {
 		grant, err := o.group.admit(ctx, e.clock, t)
--- a/internal/app/entry/stop.go
+++ b/internal/app/entry/stop.go
@@ -25,10 +25,11 @@
 func (e *Entry) Stopping() bool { return e.stopping.Load() }
 
 // Drain takes the entry out of service without interrupting a request. It waits
-// for a successor, removes the entry from look-ups, serves on while cached
-// look-ups may still name it and until its requests have ended, and hands its
-// claims over to the entries of its place. If ctx ends first, it skips what is
-// left of the waiting. It returns the number of requests still in flight.
+// for a successor, removes the entry from look-ups, and keeps serving until
+// cached look-ups that name it have expired and its requests have ended. Then it
+// hands its claims over to the other entries of its place. When ctx ends, it
+// skips the rest of the waiting. It returns the number of requests still in
+// flight.
 func (e *Entry) Drain(ctx context.Context) int64 {
 	start := e.clock.Now()
 	e.awaitSuccessor(ctx)
@@ -46,7 +47,7 @@
 }
 
 // awaitSuccessor waits until another entry of the place may own groups, if
-// there is one that could. Until then no other entry can own the groups of the
+// one could come to do so. Until then no other entry can own the groups of the
 // place, so this one stays ready and in look-ups as if no stop had been
 // requested.
 func (e *Entry) awaitSuccessor(ctx context.Context) {
--- a/internal/app/entry/suspects.go
+++ b/internal/app/entry/suspects.go
@@ -155,8 +155,8 @@
 	return s.table.Expire(now)
 }
 
-// recordAnnouncement records that an endpoint is alive. Silence after it has
-// announced that it is leaving does not count as its death.
+// recordAnnouncement records that an endpoint is alive. An endpoint that has
+// announced that it is leaving is not presumed dead when its announcements stop.
 func (s *suspects) recordAnnouncement(now time.Time, a port.Announcement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/app/entry/verdict_test.go
+++ b/internal/app/entry/verdict_test.go
@@ -158,7 +158,7 @@
 		want  verdict.Verdict
 	}{
 		{"slow answer, refusal", []step{answered.withDelay(300 * time.Millisecond), shed}, verdict.Ran},
-		{"silence, answer", []step{timedOut.withDelay(requestTimeout), answered}, verdict.Ran},
+		{"timeout, answer", []step{timedOut.withDelay(requestTimeout), answered}, verdict.Ran},
 		{"failure, later refusal", []step{badAnswer.withDelay(300 * time.Millisecond), shed.withDelay(200 * time.Millisecond)}, verdict.MayHaveRun},
 		{"refusal, later failure", []step{badAnswer.withDelay(400 * time.Millisecond), shed.withDelay(100 * time.Millisecond)}, verdict.MayHaveRun},
 		{"slow refusal, failure", []step{shed.withDelay(400 * time.Millisecond), timedOut}, verdict.MayHaveRun},
--- a/internal/core/admission/faults_test.go
+++ b/internal/core/admission/faults_test.go
@@ -351,10 +351,10 @@
 	}
 }
 
-// TestOwnTrafficTakesPrecedence guards against spilled-in requests that delay
+// TestLocalTrafficTakesPrecedence guards against spilled-in requests that delay
 // local ones: a spilled-in request is queued first, a local one after it, and
 // then a slot is released.
-func TestOwnTrafficTakesPrecedence(t *testing.T) {
+func TestLocalTrafficTakesPrecedence(t *testing.T) {
 	is := is.New(t)
 	b := newHarness(admission.Config{}, &fakeEndpoint{id: "a", slots: 1, latency: time.Hour})
 	b.offer()
--- a/internal/core/admission/retry.go
+++ b/internal/core/admission/retry.go
@@ -23,7 +23,7 @@
 // NewRetryBudget returns a budget that allows one retry at once.
 func NewRetryBudget() *RetryBudget { return &RetryBudget{balance: 1} }
 
-// Deposit records the success of a first attempt.
+// Deposit records one success.
 func (b *RetryBudget) Deposit() { b.balance = min(maxRetryBalance, b.balance+retryRatio) }
 
 // Withdraw takes one retry and reports whether it is allowed.
--- a/internal/core/claims/doc.go
+++ b/internal/core/claims/doc.go
@@ -22,8 +22,10 @@
 // The protocol between entries and the reason home-lost call the coordinator
 // the home of a key.
 //
-// Terms: a claim is what a table stores of one key, a row is a claim in the
-// form that is handed over, and minting a key is issuing its token.
+// Terms: an attempt is one arrival of a request with a key at a table (in
+// package entry also one try at an endpoint), a claim is what a table stores of
+// one key, a row is a claim in the form that is handed over, and minting a key
+// is issuing its token.
 //
 // Nothing here is safe for concurrent use; the owner of a Table guards it.
 package claims
--- a/internal/core/claims/key.go
+++ b/internal/core/claims/key.go
@@ -45,10 +45,10 @@
 // incarnation and minting time, separated by dots, the numbers in hexadecimal.
 // A caller appends a dot and its unique part of letters, digits, hyphens and
 // underscores.
-func NewToken(h Coordinator, minted time.Time) string {
+func NewToken(c Coordinator, minted time.Time) string {
 	return strings.Join([]string{
-		h.Entry,
-		strconv.FormatUint(h.Incarnation, hexBase),
+		c.Entry,
+		strconv.FormatUint(c.Incarnation, hexBase),
 		strconv.FormatInt(minted.Unix(), hexBase),
 	}, keySeparator)
 }
--- a/internal/core/membership/directory.go
+++ b/internal/core/membership/directory.go
@@ -88,7 +88,7 @@
 	return d.peers[i], true
 }
 
-// sameCell says whether two listed entries are in the same cell.
+// sameCell reports whether two listed entries are in the same cell.
 func (d *Directory) sameCell(a, b string) bool {
 	i, okA := d.byName[a]
 	j, okB := d.byName[b]
--- a/internal/core/membership/faults_test.go
+++ b/internal/core/membership/faults_test.go
@@ -331,11 +331,11 @@
 	is.True(table.OwnsSelf(now, "s", "p"))
 }
 
-// TestNotRelievedByRestartReportedFromOutside guards against an entry that
+// TestMayNotLeaveOnRestartReportedFromOutside guards against an entry that
 // leaves its place without an owner. The only other entry is leaving; then its
 // restart is reported, but only from another place. It cannot own groups in
 // either state.
-func TestNotRelievedByRestartReportedFromOutside(t *testing.T) {
+func TestMayNotLeaveOnRestartReportedFromOutside(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	table := membership.NewTable(membership.Member{Name: "b", Place: "p", Incarnation: 1}, membership.Config{})
--- a/internal/core/membership/gossip.go
+++ b/internal/core/membership/gossip.go
@@ -59,7 +59,7 @@
 }
 
 // mergeMember merges a row about a member. Of a row that is not newer than the
-// known one, only a Leaving mark of the same incarnation is taken over.
+// known one, only a Leaving mark of the same incarnation is applied.
 func (t *Table) mergeMember(now time.Time, from string, row MemberRow) {
 	if row.Name == t.self.Name {
 		t.mergeSelf(now, from, row)
@@ -85,8 +85,8 @@
 }
 
 // mergeIndirect merges a row about a member of the own cell that was received
-// from outside the cell. It takes over that the member has restarted or is
-// leaving, but not that it is live. Liveness is decided within the cell: a
+// from outside the cell. It records that the member has restarted or is leaving,
+// but does not count it as live. Liveness is decided within the cell: a
 // member whose heartbeats reach only entries outside the cell is fenced, and
 // the other members must not count it as live.
 func mergeIndirect(s *memberState, row MemberRow) {
@@ -144,7 +144,7 @@
 	return &memberState{row: row, updatedAt: now, liveSince: now, source: from, inCell: inCell}
 }
 
-// shouldAdd says whether the row of an unknown member is to be kept: a listed
+// shouldAdd reports whether the row of an unknown member is to be kept: a listed
 // one if its place is followed, another one while the table is below its bound.
 func (t *Table) shouldAdd(row MemberRow) bool {
 	if _, listed := t.dir.byName[row.Name]; listed {
@@ -225,7 +225,7 @@
 	return 0
 }
 
-// recentEnough says whether a row may still be relayed: its counter rose
+// recentEnough reports whether a row may still be relayed: its counter rose
 // recently, or its entry is leaving and still live.
 func (t *Table) recentEnough(now time.Time, s *memberState) bool {
 	return now.Sub(s.updatedAt) < t.cfg.SuspectAfter/2 || s.row.Leaving && t.isLive(now, s)
@@ -237,7 +237,7 @@
 	leaving              bool
 }
 
-// covers says whether row adds nothing to the row that o describes.
+// covers reports whether row adds nothing to the row that o describes.
 func (o rowOrder) covers(row MemberRow) bool {
 	if o.incarnation != row.Incarnation {
 		return o.incarnation > row.Incarnation
--- a/internal/core/membership/groups.go
+++ b/internal/core/membership/groups.go
@@ -79,7 +79,7 @@
 	return g.row, max(0, now.Sub(g.updatedAt)), true
 }
 
-// mergeGroup merges a group's row from another entry. It takes over the row of
+// mergeGroup merges a group's row from another entry. It stores the row of
 // a group without one while fewer than maxGroupRows are held, a newer row of the
 // same owner, and the row of another owner if replacesOwner permits it.
 func (t *Table) mergeGroup(now time.Time, from string, row GroupRow) {
@@ -117,7 +117,7 @@
 // groups are ignored. Rows that this entry owns are added regardless.
 func (t *Table) maxGroupRows() int { return groupsPerPeerSet * (len(t.peerSets) + 1) }
 
-// isNewerGroup says whether row a of an owner is newer than row b of the same
+// isNewerGroup reports whether row a of an owner is newer than row b of the same
 // owner.
 func isNewerGroup(a, b GroupRow) bool {
 	if a.OwnerIncarnation != b.OwnerIncarnation {
@@ -126,7 +126,7 @@
 	return a.Counter > b.Counter
 }
 
-// replacesOwner says whether the row of another owner replaces the one held:
+// replacesOwner reports whether the row of another owner replaces the one held:
 // when the owner in the row held is unresponsive or leaving, when that row is
 // stale, or when rendezvous hashing chooses the new owner.
 func (t *Table) replacesOwner(now time.Time, g *groupState, row GroupRow) bool {
--- a/internal/core/membership/liveness.go
+++ b/internal/core/membership/liveness.go
@@ -87,7 +87,7 @@
 	t.cellLiveSince = time.Time{}
 }
 
-// unacknowledged says that the cell has live members, but that none has
+// unacknowledged reports whether the cell has live members of which none has
 // acknowledged a heartbeat of this entry for longer than a lease.
 func (t *Table) unacknowledged(now time.Time) bool {
 	if t.cellLiveSince.IsZero() {
@@ -100,7 +100,7 @@
 	return now.Sub(last) > t.cfg.Lease
 }
 
-// Fenced says whether this entry must not act as an owner: its loop has stalled
+// Fenced reports whether this entry must not act as an owner: its loop has stalled
 // or not run yet, the live members of its cell do not acknowledge its
 // heartbeats, or another process supersedes it.
 func (t *Table) Fenced(now time.Time) bool {
@@ -110,13 +110,13 @@
 	return t.Superseded() || t.unacknowledged(now)
 }
 
-// Superseded says whether another process with this entry's name has been seen
+// Superseded reports whether another process with this entry's name has been seen
 // with a higher incarnation, or with this one and a higher counter. Other
 // entries then ignore this entry's rows as outdated; it must restart with a
 // higher incarnation.
 func (t *Table) Superseded() bool { return t.supersededBy > 0 }
 
-// isLive says whether the last update of a member is recent enough.
+// isLive reports whether the last update of a member is recent enough.
 func (t *Table) isLive(now time.Time, s *memberState) bool {
 	return t.isLiveAt(t.livenessTime(now), s)
 }
@@ -136,8 +136,7 @@
 	return t.cfg.SuspectAfter + time.Duration(t.outsideDelay)*t.cfg.Period
 }
 
-// outsideDelayPeriods returns the number of periods by which a row from outside
-// the own cell may be late.
+// outsideDelayPeriods returns Table.outsideDelay for the present peers.
 func (t *Table) outsideDelayPeriods() int {
 	if len(t.dir.byName) <= smallSystemEntries {
 		return 3 * bits.Len(uint(len(t.dir.byName))) / 2
@@ -146,7 +145,7 @@
 	return 2 * ((len(t.peerSets) + perPeriod - 1) / perPeriod)
 }
 
-// isListed says whether an entry may be live: any may while no entries are
+// isListed reports whether an entry may be live: any may while no entries are
 // listed, otherwise this entry and the listed ones.
 func (t *Table) isListed(name string) bool {
 	if len(t.dir.byName) == 0 || name == t.self.Name {
@@ -237,7 +236,7 @@
 	return version, from, ok
 }
 
-// isNearer says whether the entry of a row is nearer to this entry than
+// isNearer reports whether the entry of a row is nearer to this entry than
 // another; at the same distance the lower name counts as nearer.
 func (t *Table) isNearer(row MemberRow, than Member) bool {
 	a := t.distance(row.Place)
--- a/internal/core/membership/owner.go
+++ b/internal/core/membership/owner.go
@@ -125,7 +125,7 @@
 	return a.before(b)
 }
 
-// settled says whether a live member has been live for a lease, so that the
+// settled reports whether a live member has been live for a lease, so that the
 // entry that owned its groups in the meantime has given them up. An entry that
 // has just started cannot know this. It treats all others as settled, and owns
 // nothing itself.
@@ -153,8 +153,9 @@
 
 // Owner returns the entry that owns a group: the first by rendezvous hashing
 // over the place's live entries, or over those of its region when the place has
-// none. The owner that a recent row of the group names takes precedence, unless
-// the group is in this entry's place and the own cell is the whole place.
+// none. An owner named by a recent row of the group takes precedence, except for
+// a group of the own place if that place has a single cell, since this entry
+// then follows every entry of the place.
 func (t *Table) Owner(now time.Time, service, place string) (Member, bool) {
 	if m, ok := t.reportedOwner(now, service, place); ok {
 		return m, true
@@ -162,8 +163,8 @@
 	return t.rendezvousOwner(now, service, place)
 }
 
-// reportedOwner returns the owner that a recent row of the group names, unless
-// the group is in this entry's place and the own cell is the whole place. The
+// reportedOwner returns the owner that a recent row of the group names. It
+// returns none for a group of the own place if that place has a single cell. The
 // row shows that the owner is live, even if it is not among the members that
 // this entry follows.
 func (t *Table) reportedOwner(now time.Time, service, place string) (Member, bool) {
@@ -192,7 +193,7 @@
 	return t.choose(now, service, place, owner.Name)
 }
 
-// OwnsSelf says whether this entry may act as the owner of a group: it is not
+// OwnsSelf reports whether this entry may act as the owner of a group: it is not
 // fenced, not leaving and settled, and no entry before it in the ranking can
 // own the group.
 func (t *Table) OwnsSelf(now time.Time, service, place string) bool {
@@ -225,7 +226,7 @@
 	return self, found
 }
 
-// cannotOwn says whether an entry cannot be acting as an owner: it is leaving,
+// cannotOwn reports whether an entry cannot be acting as an owner: it is leaving,
 // it is not settled, or it has been unresponsive for longer than its lease. An
 // entry that was never seen counts as unresponsive since this entry's start.
 func (t *Table) cannotOwn(now time.Time, name string) bool {
--- a/internal/core/membership/relay.go
+++ b/internal/core/membership/relay.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// mayRelay says whether the row may be relayed once more.
+// mayRelay reports whether the row may be relayed once more.
 func (r *relay) mayRelay(cfg Config) bool { return r.relayCount < cfg.Relays }
 
 // recordRelay records that the row was relayed in the period with this counter.
--- a/internal/core/membership/round_robin.go
+++ b/internal/core/membership/round_robin.go
@@ -15,9 +15,9 @@
 	// cell is the position in the own cell, peerSet the index of the current
 	// peer set, and round counts the periods.
 	cell, peerSet, round int
-	// awaited names the last peer contacted in a period with a peer set in turn,
-	// until a message from it is received; retried says that the current peer
-	// set was tried a second time.
+	// awaited names the last peer picked in a period in which a peer set was in
+	// turn; it is empty once a message from that peer was received. retried says
+	// that the current peer set was tried a second time.
 	awaited string
 	retried bool
 }
@@ -81,9 +81,9 @@
 	}
 }
 
-// pick appends the first peer of list, from start on, that may be live. It
-// takes the one at start if there is none and in every probeEvery-th period. It
-// appends nothing if the result is this entry or already picked.
+// pick appends the first peer of list, in cyclic order from start, that may be
+// live. If there is none, and in every probeEvery-th period, it appends the peer
+// at start. It appends nothing if that peer is this entry or already picked.
 func (t *Table) pick(now time.Time, picked []Peer, list []int, start int) []Peer {
 	choice := start
 	if t.roundRobin.round%probeEvery != 0 {
@@ -102,7 +102,7 @@
 	return append(picked, peer)
 }
 
-// mayBeLive says whether a peer is live or no row of it is known.
+// mayBeLive reports whether a peer is live or no row of it is known.
 func (t *Table) mayBeLive(now time.Time, peer Peer) bool {
 	s, ok := t.members[peer.Name]
 	return !ok || t.isLive(now, s)
--- a/internal/core/membership/table.go
+++ b/internal/core/membership/table.go
@@ -36,8 +36,8 @@
 	// cell holds the other members of the own cell as indexes in dir.peers.
 	cell       []int
 	roundRobin roundRobin
-	// outsideDelay is the number of periods by which a row from outside the
-	// cell may be late.
+	// outsideDelay is the number of periods added to the time after which a
+	// member outside the own cell is no longer live, since its rows may be late.
 	outsideDelay int
 	// interest holds the places followed outside the own region; nil means all.
 	interest map[string]bool
@@ -141,7 +141,7 @@
 	}
 }
 
-// follows says whether this entry keeps rows of a place.
+// follows reports whether this entry keeps rows of a place.
 func (t *Table) follows(place string) bool {
 	if t.interest == nil || place == t.self.Place || t.interest[place] {
 		return true
--- a/internal/core/membership/types.go
+++ b/internal/core/membership/types.go
@@ -55,7 +55,7 @@
 	// requests that they may run at the same time, the slots in use and the
 	// requests that wait.
 	Endpoints, Slots, Busy, Queued int
-	// Latency is the group's typical time to answer a request.
+	// Latency is the median latency of the group's recent requests.
 	Latency time.Duration
 }
 
@@ -100,12 +100,13 @@
 	// while its cell has live members, after its last acknowledged heartbeat.
 	// It is below SuspectAfter: withDefaults reduces it if it is not.
 	Lease time.Duration
-	// RelayPeriod is the least time until newer rows of the same entry or group
-	// are relayed up to Relays times again. The counter of the own group rows
-	// rises at most once in it.
+	// RelayPeriod is the minimum time between two resets of the relay count of
+	// an entry or group by a newer row. The counter of the own group rows rises
+	// at most once in it.
 	RelayPeriod time.Duration
-	// Relays is how many times the rows of one entry or group are relayed per
-	// RelayPeriod. A new Leaving mark may restart the count.
+	// Relays is how many times the rows of one entry or group are relayed until
+	// the relay count is reset. A new Leaving mark without a higher counter
+	// resets it too.
 	Relays int
 	// FanOut is the number of heartbeats sent per period.
 	FanOut int
--- a/internal/core/steering/rank.go
+++ b/internal/core/steering/rank.go
@@ -73,12 +73,12 @@
 // Rank returns the places that may answer a request, best first. The origin
 // comes first unless it is drained, dead or overloaded. A drained or overloaded
 // origin that still has endpoints comes after the places that rules permit and
-// that have room.
+// that have free slots.
 //
 // A place whose slots outside the reserve are all taken, according to the view,
 // is left out unless the origin is dead or drained. In that case it is ranked
-// late: the view lags behind, and the owner of its group decides and refuses at
-// once. A place whose state is stale comes after those, with free slots or
+// near the end: the view may be out of date, and the owner of its group decides
+// and refuses at once. A place whose state is stale comes after those, with free slots or
 // without. Dead places, and drained places other than the origin, are left out.
 //
 // The result is empty when the service or the origin is unknown or nothing can
@@ -114,7 +114,7 @@
 	return choices
 }
 
-// withoutFull drops the places without room if the origin can still serve:
+// withoutFull drops the places without free slots if the origin can still serve:
 // trying them would cost time and tokens, and the origin refuses at once what
 // it cannot serve.
 func withoutFull(candidates []candidate) []candidate {
@@ -145,7 +145,7 @@
 	return groups
 }
 
-// mostlyStale says whether more than half of the groups are stale. That points
+// mostlyStale reports whether more than half of the groups are stale. That points
 // to a failure of the reporting and not of the groups, so the last known state
 // is used as if it were current.
 func mostlyStale(groups []placedGroup) bool {
--- a/internal/core/steering/rank_test.go
+++ b/internal/core/steering/rank_test.go
@@ -141,14 +141,14 @@
 	}
 }
 
-// TestSpreadFollowsRoom guards against all requests of a class going to one
-// place: two far places of unequal room must share the requests in proportion
-// to it, and the near place must stay first.
-func TestSpreadFollowsRoom(t *testing.T) {
+// TestSpreadFollowsFreeSlots guards against all requests of a class going to one
+// place: two far places with unequal free slots must share the requests in
+// proportion to them, and the near place must stay first.
+func TestSpreadFollowsFreeSlots(t *testing.T) {
 	is := is.New(t)
 	table, err := steering.NewTable(testDocument())
 	is.NoErr(err)
-	v := fixedView{"n2": healthy(15), "s1": healthy(4), "s2": healthy(12)} // room 1, 12 and 4
+	v := fixedView{"n2": healthy(15), "s1": healthy(4), "s2": healthy(12)} // free slots: 1, 12 and 4
 	first := map[string]int{}
 	for request := range uint64(4000) {
 		choices := table.Rank("roster", "n1", v)
--- a/internal/core/steering/spread.go
+++ b/internal/core/steering/spread.go
@@ -10,7 +10,7 @@
 // that leave their origin are distributed over all equally good places instead
 // of all going to the first one. Choices of one class (equal tier and
 // round-trip class) are ordered by weighted rendezvous hashing (Schindelhauer
-// and Schomaker 2005) with the room as the weight. The same request gives the
+// and Schomaker 2005) with FreeSlots as the weight. The same request gives the
 // same order.
 func Spread(choices []Choice, request uint64) {
 	for start := 0; start < len(choices); {
@@ -32,7 +32,7 @@
 }
 
 // weightedHash returns a number that is exponentially distributed over the
-// requests, with the room as its rate: the place with the most room has the
+// requests, with FreeSlots as its rate: the place with the most free slots has the
 // lowest number most often.
 func (c Choice) weightedHash(request uint64) float64 {
 	hash := mix(spreadHash(c.Place, "", "") ^ mix(request))
--- a/internal/core/steering/table.go
+++ b/internal/core/steering/table.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// within says whether name, from a rule, is this place or its region.
+// within reports whether name, from a rule, is this place or its region.
 func (p *place) within(name string) bool { return p.name == name || p.region == name }
 
 // addLinks records for each pair of regions the bounded links that a request
@@ -211,7 +211,7 @@
 	return t.places[index].reserve, true
 }
 
-// Drained says whether a place is drained for a service, or for every service.
+// Drained reports whether a place is drained for a service, or for every service.
 func (t *Table) Drained(service, place string) bool {
 	if _, ok := t.drained[drainKey{"", place}]; ok {
 		return true
--- a/internal/core/steering/view.go
+++ b/internal/core/steering/view.go
@@ -5,8 +5,8 @@
 // GroupView is the known state of one group: the endpoints of a service in a
 // place.
 type GroupView struct {
-	// Live says that an entry of the place and at least one endpoint are
-	// reachable.
+	// Live says that the group has a live owner and at least one reachable
+	// endpoint.
 	Live bool
 	// Endpoints counts the endpoints that accept requests.
 	Endpoints int
@@ -32,7 +32,7 @@
 	Group(service, place string) (GroupView, bool)
 }
 
-// usable says whether the group can run a request.
+// usable reports whether the group can run a request.
 func (g GroupView) usable() bool { return g.Live && g.Endpoints > 0 && g.Slots > 0 }
 
 // outstanding counts the requests that run or wait.
--- a/internal/core/verdict/reason.go
+++ b/internal/core/verdict/reason.go
@@ -19,31 +19,33 @@
 	ReasonDeadline Reason = "deadline-exceeded"
 	// ReasonCanceled means that the caller canceled the request or disconnected.
 	ReasonCanceled Reason = "canceled"
-	// ReasonNoKey means that a request that may run only once has no usable
-	// idempotency key.
+	// ReasonNoKey means that a once-only request has no valid key.
 	ReasonNoKey Reason = "key-required"
-	// ReasonKeyReused means that an idempotency key was used before for another
-	// request.
+	// ReasonKeyReused means that a key was used before for another request.
 	ReasonKeyReused Reason = "key-reused"
-	// ReasonKeyExpired means that an idempotency key is older than the retention.
+	// ReasonKeyExpired means that a key without a stored outcome is too old to
+	// start or may have had an outcome that was removed, or that its time is too
+	// far in the future.
 	ReasonKeyExpired Reason = "key-expired"
-	// ReasonCoordinatorLost means that the incarnation of the entry VM that was
-	// responsible for the idempotency key is gone.
+	// ReasonCoordinatorLost means that the coordinator of the key, the entry VM's
+	// incarnation that alone may start it, is gone.
 	ReasonCoordinatorLost Reason = "home-lost"
 	// ReasonClaimsFull means that the table of claims is full.
 	ReasonClaimsFull Reason = "claims-full"
 	// ReasonTooLarge means that the request's body is larger than the service allows.
 	ReasonTooLarge Reason = "body-too-large"
-	// ReasonOverload means that no slot becomes free before the deadline.
+	// ReasonOverload means that the request can't get a slot or a connection in
+	// time, or that the queue for slots is full.
 	ReasonOverload Reason = "overload"
 	// ReasonCap means that the limit of a rule or a link is reached.
 	ReasonCap Reason = "cap-reached"
-	// ReasonNoEndpoint means that no endpoint of the service is reachable.
+	// ReasonNoEndpoint means that no usable endpoint is known for the request.
 	ReasonNoEndpoint Reason = "no-endpoint"
-	// ReasonNoOwner means that no entry VM owns the group at present.
+	// ReasonNoOwner means that the group has no known owner, or that the entry VM
+	// that received the request doesn't own it.
 	ReasonNoOwner Reason = "no-owner"
-	// ReasonQuarantined means that the request is quarantined because it is known to
-	// crash endpoints.
+	// ReasonQuarantined means that the request is quarantined because it crashed
+	// endpoints, or refused because it is suspected of that.
 	ReasonQuarantined Reason = "quarantined"
 	// ReasonShed means that the endpoint refused the request.
 	ReasonShed Reason = "shed"
