--- a/internal/adapter/disk/doc.go
+++ b/internal/adapter/disk/doc.go
@@ -9,7 +9,8 @@
 // older content, because the process may already have sent answers that depend on
 // the newer one.
 //
-// A Folder whose operation failed rejects all further calls, because the content
-// of the disk is then unknown until it is read again. A VoterStore opens its folder again before its next
-// write; a control VM reads its records again only when its process restarts.
+// After a failed file system operation, a Folder rejects all further calls, because
+// the content of the disk is then unknown until it is read again. A VoterStore opens
+// its folder again before its next write; a control VM reads its records again only
+// when its process restarts.
 package disk
--- a/internal/adapter/disk/voterstore.go
+++ b/internal/adapter/disk/voterstore.go
@@ -45,7 +45,7 @@
 		return state, false, err
 	}
 	if err := json.Unmarshal(payload, &state); err != nil {
-		return state, false, fmt.Errorf("%w: %w", ErrCorrupt, err)
+		return state, false, fmt.Errorf("voter: %w: %w", ErrCorrupt, err)
 	}
 	return state, true, nil
 }
--- a/internal/adapter/endpointhttp/conn.go
+++ b/internal/adapter/endpointhttp/conn.go
@@ -61,8 +61,9 @@
 	return n, err
 }
 
-// limitHead limits the bytes to be read to those of a response head.
+// limitHead limits the response head that is read next to maxHeaderBytes.
 func (c *conn) limitHead() { c.input.left = maxHeaderBytes }
 
-// removeLimit removes the limit for the response body, which is limited elsewhere.
+// removeLimit removes the limit before the response body is read; the exchange
+// limits the size of the body.
 func (c *conn) removeLimit() { c.input.left = math.MaxInt64 }
--- a/internal/adapter/endpointhttp/header_convention.go
+++ b/internal/adapter/endpointhttp/header_convention.go
@@ -36,17 +36,17 @@
 }
 
 // setHeaders adds the convention's headers to the headers of a request.
-func (d HeaderConvention) setHeaders(h http.Header, to port.Endpoint, req *port.Request) {
+func (c HeaderConvention) setHeaders(h http.Header, to port.Endpoint, req *port.Request) {
 	id := req.ID
-	if !d.ExactID {
+	if !c.ExactID {
 		id = exchangeID(req.ID)
 	}
-	h.Set(d.IDHeader, id)
-	if d.EndpointIDHeader != "" {
-		h.Set(d.EndpointIDHeader, to.ID)
+	h.Set(c.IDHeader, id)
+	if c.EndpointIDHeader != "" {
+		h.Set(c.EndpointIDHeader, to.ID)
 	}
 	if !req.Deadline.IsZero() {
 		left := max(time.Until(req.Deadline).Milliseconds(), 0)
-		h.Set(d.TimeoutHeader, strconv.FormatInt(left, 10))
+		h.Set(c.TimeoutHeader, strconv.FormatInt(left, 10))
 	}
 }
--- a/internal/adapter/logsink/sink.go
+++ b/internal/adapter/logsink/sink.go
@@ -3,8 +3,8 @@
 //
 // Records go into a bounded buffer that one goroutine writes to the output. Records
 // that don't fit because the output is too slow, or that exceed the rate limit (a
-// token bucket of bytes), are dropped and counted. The process logs the number that
-// Dropped returns in a later record.
+// token bucket of bytes), are dropped and counted. Dropped returns their number, which
+// the process logs in a later record.
 package logsink
 
 import (
--- a/internal/adapter/peergrpc/conn.go
+++ b/internal/adapter/peergrpc/conn.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// recentSuccess is how long a connection is taken for alive after a call on it
+	// recentSuccess is how long a connection counts as working after a call on it
 	// succeeded or after it was created.
 	recentSuccess = time.Second
 	// A connection without activity for keepaliveTime is pinged, and closed if the
--- a/internal/adapter/peergrpc/control.go
+++ b/internal/adapter/peergrpc/control.go
@@ -24,8 +24,8 @@
 	return &ControlClient{conns: newConns(clock, local), clock: clock}
 }
 
-// Fetch requests a document newer than q.Have from one control VM, and sends it
-// the reports of entry VMs in q.
+// Fetch requests a document newer than q.CurrentVersion from one control VM, and
+// sends it the reports of entry VMs in q.
 func (c *ControlClient) Fetch(ctx context.Context, address string, q port.FetchQuery) (port.FetchAnswer, error) {
 	conn, err := c.conns.get(ctx, address, requireAny)
 	if err != nil {
--- a/internal/adapter/peergrpc/doc.go
+++ b/internal/adapter/peergrpc/doc.go
@@ -4,7 +4,6 @@
 // The client keeps one connection per peer. Before it forwards a request, it
 // replaces a connection on which no call has succeeded for a second: a network
 // device between the VMs may have lost the connection's state, so that its bytes
-// are dropped without an error. A forwarded
-// request has the verdict NotRun only if no connection became ready for it, or
-// if the peer reports NotRun.
+// are dropped without an error. A forwarded request has the verdict NotRun only if
+// no connection became ready for it, or if the peer reports NotRun.
 package peergrpc
--- a/internal/core/budget/bucket.go
+++ b/internal/core/budget/bucket.go
@@ -154,7 +154,7 @@
 }
 
 // recordDemand counts units that are requested now. The ramp starts again after
-// a time without demand that is longer than the ramp and than one second.
+// a time without demand that is longer than both the ramp and one second.
 func (b *bucket) recordDemand(now time.Time, units int64) {
 	if b.lastDemand.IsZero() || now.Sub(b.lastDemand) > max(b.current.ramp, time.Second) {
 		b.rampStartedAt = now
--- a/internal/core/budget/loans.go
+++ b/internal/core/budget/loans.go
@@ -96,9 +96,10 @@
 	}
 }
 
-// nextLender returns the next entry that has a share, has no loan to this
-// entry, and neither was returned before nor refused in the last half window;
-// empty when there is none.
+// nextLender returns the next other entry, in round-robin order, that has a
+// share and no loan to this entry. It skips the entries that it returned, or
+// that refused a request, within the last half window. It returns an empty name
+// when there is none.
 func (l *Ledger) nextLender(now time.Time, b *bucket) string {
 	var lenders []string
 	for entry, share := range b.current.shares {
--- a/internal/core/budget/reservation.go
+++ b/internal/core/budget/reservation.go
@@ -18,8 +18,9 @@
 
 // Admit reserves the bytes that a request needs of its link in both directions.
 // It returns nil when the link or a rule of the request has no room. A rule
-// that isn't in the document has no room; a link that isn't in the document is
-// unlimited. The rules' units are reserved later, by Take.
+// without a bucket here, because it isn't in the document or this entry isn't
+// in its destination, has no room; a link without a bucket here is unlimited.
+// The rules' units are reserved later, by Take.
 func (l *Ledger) Admit(now time.Time, c Charge) *Reservation {
 	now = l.monotonic(now)
 	l.raiseLimits(now)
@@ -48,39 +49,39 @@
 }
 
 // Settle ends a reservation and counts its actual use at the time now, so that
-// it counts for one window from now on. Until now the whole reservation
-// counted. Every window that contains the time at which the units were used
-// therefore counts them, whenever that was since the reservation. bytes is the
+// it counts for one window from now on. The units may have been used at any
+// time since the reservation; until now the whole reservation counted, so every
+// window that contains that time counts them. bytes is the
 // number of bytes that went over the link: those of the answer if the charge
 // has AnswerBytes, and those of request and answer otherwise.
 func (l *Ledger) Settle(now time.Time, r *Reservation, bytes int64) {
 	now = l.monotonic(now)
-	for _, u := range r.parts {
-		u.b.reserved -= u.units
-		used := u.units
-		if u.isUpperBound {
-			used = min(max(0, bytes), u.units)
+	for _, p := range r.parts {
+		p.b.reserved -= p.units
+		used := p.units
+		if p.isUpperBound {
+			used = min(max(0, bytes), p.units)
 		}
-		u.b.use.add(now, used)
+		p.b.use.add(now, used)
 	}
 }
 
 // Release ends a reservation whose units weren't used.
 func (l *Ledger) Release(r *Reservation) {
-	for _, u := range r.parts {
-		u.b.reserved -= u.units
+	for _, p := range r.parts {
+		p.b.reserved -= p.units
 	}
 }
 
 func recordDemand(now time.Time, parts []reservationPart) {
-	for _, u := range parts {
-		u.b.recordDemand(now, u.units)
+	for _, p := range parts {
+		p.b.recordDemand(now, p.units)
 	}
 }
 
 func allFit(now time.Time, parts []reservationPart) bool {
-	for _, u := range parts {
-		if !u.b.fits(now, u.units) {
+	for _, p := range parts {
+		if !p.b.fits(now, p.units) {
 			return false
 		}
 	}
@@ -88,8 +89,8 @@
 }
 
 func newReservation(parts []reservationPart) *Reservation {
-	for _, u := range parts {
-		u.b.reserved += u.units
+	for _, p := range parts {
+		p.b.reserved += p.units
 	}
 	return &Reservation{parts: parts}
 }
--- a/internal/core/quarantine/death.go
+++ b/internal/core/quarantine/death.go
@@ -97,8 +97,8 @@
 // mayAffect reports whether d is close enough to a death of the record to
 // change whether that one counts.
 func (t *Table) mayAffect(r *record, d death) bool {
-	return slices.ContainsFunc(r.deaths, func(b attributedDeath) bool {
-		return d.at.Sub(b.at) <= t.cfg.CorrelationWindow
+	return slices.ContainsFunc(r.deaths, func(a attributedDeath) bool {
+		return d.at.Sub(a.at) <= t.cfg.CorrelationWindow
 	})
 }
 
@@ -118,8 +118,8 @@
 // correlated failure.
 func (t *Table) countDeaths(f fingerprint.Fingerprint, r *record) int {
 	n := 0
-	for _, b := range r.deaths {
-		if t.unrelatedDeathsNear(f, b.at) < t.cfg.CorrelatedDeaths {
+	for _, a := range r.deaths {
+		if t.unrelatedDeathsNear(f, a.at) < t.cfg.CorrelatedDeaths {
 			n++
 		}
 	}
--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -1,11 +1,12 @@
 // Package quarantine keeps a request that crashes endpoints from crashing more
 // than two of them.
 //
-// The death of an endpoint is attributed to the requests that were in flight on
-// it, or that were lost on it recently: if given up, within AttributionTimeout
-// before at most. A run is one request on one endpoint incarnation; a run is
-// lost when its outcome is unknown, because it was given up or its connection
-// was reset. An endpoint that lost a run and shows no evidence of liveness for
+// A run is one request on one endpoint incarnation. A run is lost when its
+// outcome is unknown, because it was given up or its connection was reset.
+//
+// The death of an endpoint is attributed to the requests whose runs were in
+// flight on it or were lost on it recently. A run that was given up counts as
+// recent for AttributionTimeout at most. An endpoint that lost a run and shows no evidence of liveness for
 // DetectionTimeout is presumed dead; after a run that was given up, only if the
 // endpoint had reported itself before. Two deaths of distinct incarnations put
 // a fingerprint into quarantine.
@@ -19,10 +20,11 @@
 // DetectionTimeout at least, and then until its endpoint shows evidence of
 // liveness or Hold is over.
 //
-// A death counts only while it is not part of a correlated failure, in which
-// several endpoints die at about the same time without the fingerprint. A
-// fingerprint that was answered recently is proven: the number of its runs
-// isn't limited, and endpoints that die together count as one death.
+// A death counts only while it is not part of a correlated failure, that is,
+// of several deaths at about the same time that aren't attributed to the
+// fingerprint. A fingerprint that was answered recently is proven: the number
+// of its runs isn't limited, and its first death and those of runs that had
+// started by then count as one.
 //
 // A Table isn't safe for concurrent use; its owner guards it.
 package quarantine
--- a/internal/core/quarantine/order.go
+++ b/internal/core/quarantine/order.go
@@ -30,18 +30,20 @@
 }
 
 // nextVersion returns a version for a change that is made now.
-func (o *changeVersions) nextVersion(now time.Time) uint64 {
-	return max(uint64(now.UnixMicro()), o.changed+1, o.lifted+1)
+func (v *changeVersions) nextVersion(now time.Time) uint64 {
+	return max(uint64(now.UnixMicro()), v.changed+1, v.lifted+1)
 }
 
-// NewChangeVersion returns the version of a change of f that was just made here.
+// NewChangeVersion assigns a version to a change of f that was just made here, and
+// returns it.
 func (t *Table) NewChangeVersion(now time.Time, f fingerprint.Fingerprint) uint64 {
 	r := t.record(f)
 	r.changed = r.nextVersion(now)
 	return r.changed
 }
 
-// NewLiftVersion returns the version of a lift of f that was just made here.
+// NewLiftVersion assigns a version to a lift of f that was just made here, records
+// the lift and returns its version.
 func (t *Table) NewLiftVersion(now time.Time, f fingerprint.Fingerprint) uint64 {
 	r := t.record(f)
 	t.recordLift(now, r, r.nextVersion(now))
--- a/internal/core/quarantine/types.go
+++ b/internal/core/quarantine/types.go
@@ -29,8 +29,8 @@
 	// CorrelationWindow is the time within which deaths belong to one
 	// correlated failure.
 	CorrelationWindow time.Duration
-	// CorrelatedDeaths is the number of deaths without the fingerprint, within
-	// CorrelationWindow, that make a failure a correlated one.
+	// CorrelatedDeaths is the number of deaths within CorrelationWindow, not
+	// attributed to the fingerprint, that make a failure a correlated one.
 	CorrelatedDeaths int
 	// MaxEntries is the number of records above which lost runs and lifts are no
 	// longer remembered, and the maximum number of fingerprints that are
@@ -104,8 +104,8 @@
 	// Service is the service that was requested; empty when another entry
 	// reported the fingerprint.
 	Service string
-	// Remaining is how long the quarantine or the holding back lasts, counted
-	// from the listing.
+	// Remaining is how long the fingerprint stays in quarantine or held back,
+	// counted from the call that returned this Entry.
 	Remaining time.Duration
 	// Suspected is set when the fingerprint is held back but not in quarantine.
 	Suspected bool
