--- a/internal/adapter/registergrpc/client_test.go
+++ b/internal/adapter/registergrpc/client_test.go
@@ -32,21 +32,21 @@
 	dropped map[net.Conn]bool
 }
 
-func (s *blackholeProxy) drop() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.dropped {
-		s.dropped[c] = true
+func (p *blackholeProxy) drop() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.dropped {
+		p.dropped[c] = true
 	}
 }
 
-func (s *blackholeProxy) isDropped(c net.Conn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.dropped[c]
+func (p *blackholeProxy) isDropped(c net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.dropped[c]
 }
 
-func (s *blackholeProxy) serve(l net.Listener, target string) {
+func (p *blackholeProxy) serve(l net.Listener, target string) {
 	for {
 		in, err := l.Accept()
 		if err != nil {
@@ -57,15 +57,15 @@
 			_ = in.Close()
 			return
 		}
-		s.mu.Lock()
-		s.dropped[in] = false
-		s.mu.Unlock()
-		go s.forward(in, in, out)
-		go s.forward(in, out, in)
+		p.mu.Lock()
+		p.dropped[in] = false
+		p.mu.Unlock()
+		go p.forward(in, in, out)
+		go p.forward(in, out, in)
 	}
 }
 
-func (s *blackholeProxy) forward(key, from, to net.Conn) {
+func (p *blackholeProxy) forward(key, from, to net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -73,7 +73,7 @@
 			_ = to.Close()
 			return
 		}
-		if s.isDropped(key) {
+		if p.isDropped(key) {
 			continue
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
--- a/internal/core/budget/property_test.go
+++ b/internal/core/budget/property_test.go
@@ -26,7 +26,7 @@
 type simulation struct {
 	rt        *rapid.T
 	now       time.Duration // real time
-	nodes     []*node
+	entries   []*entry
 	documents []*document.Document // by version, from 1
 	messages  []message
 	inFlight  []inFlightRequest
@@ -46,7 +46,7 @@
 
 // inFlightRequest is a request that was sent and isn't settled yet.
 type inFlightRequest struct {
-	sender           *node
+	sender           *entry
 	ledger           *budget.Ledger
 	reservation      *budget.Reservation
 	bytes            int64 // on the link; 0 for a unit of the rule
@@ -54,7 +54,8 @@
 	arrived          bool
 }
 
-type node struct {
+// entry is one entry VM, with its own clock.
+type entry struct {
 	name        string
 	ledger      *budget.Ledger
 	incarnation uint64
@@ -76,177 +77,177 @@
 
 // versionInterval is the time in which a version was in force at an entry.
 type versionInterval struct {
-	node     int
+	entry    int
 	version  uint64
 	from, to time.Duration
 }
 
 const never = time.Duration(1<<62 - 1)
 
-func (w *simulation) clock(n *node) time.Time {
-	drift := time.Duration(int64(w.now/time.Microsecond) * n.ppm / 1000)
-	return epoch.Add(n.offset + w.now + drift)
+func (s *simulation) clock(e *entry) time.Time {
+	drift := time.Duration(int64(s.now/time.Microsecond) * e.ppm / 1000)
+	return epoch.Add(e.offset + s.now + drift)
 }
 
-func (w *simulation) restart(i int) {
-	n := w.nodes[i]
-	n.incarnation++
-	n.ledger = budget.NewLedger(
-		budget.Owner{Entry: n.name, Incarnation: n.incarnation},
-		budget.Config{ReportTimeout: -1}, w.clock(n))
-	n.version = 0
+func (s *simulation) restart(i int) {
+	e := s.entries[i]
+	e.incarnation++
+	e.ledger = budget.NewLedger(
+		budget.Owner{Entry: e.name, Incarnation: e.incarnation},
+		budget.Config{ReportTimeout: -1}, s.clock(e))
+	e.version = 0
 }
 
 // adopt puts the newest version in force at an entry.
-func (w *simulation) adopt(i int) {
-	n := w.nodes[i]
-	version := uint64(len(w.documents))
-	if n.version == version {
+func (s *simulation) adopt(i int) {
+	e := s.entries[i]
+	version := uint64(len(s.documents))
+	if e.version == version {
 		return
 	}
-	for k := range w.versions {
-		if w.versions[k].node == i && w.versions[k].to == never {
-			w.versions[k].to = w.now
+	for k := range s.versions {
+		if s.versions[k].entry == i && s.versions[k].to == never {
+			s.versions[k].to = s.now
 		}
 	}
-	w.versions = append(w.versions, versionInterval{i, version, w.now, never})
-	n.version = version
-	n.ledger.SetDocument(w.clock(n), version, w.documents[version-1])
+	s.versions = append(s.versions, versionInterval{i, version, s.now, never})
+	e.version = version
+	e.ledger.SetDocument(s.clock(e), version, s.documents[version-1])
 }
 
 // burst sends as many requests as an entry admits at one moment, up to limit.
 // They arrive after a delay, and are settled then or when their transit is
 // over.
-func (w *simulation) burst(i, limit int) {
-	n := w.nodes[i]
-	delay := time.Duration(rapid.SampledFrom([]int{0, 0, 20, 50}).Draw(w.rt, "delay")) * time.Millisecond
-	late := rapid.Bool().Draw(w.rt, "late")
-	bytes := rapid.SampledFrom([]int64{0, 0, 0, 7_000, 60_000}).Draw(w.rt, "bytes")
+func (s *simulation) burst(i, limit int) {
+	e := s.entries[i]
+	delay := time.Duration(rapid.SampledFrom([]int{0, 0, 20, 50}).Draw(s.rt, "delay")) * time.Millisecond
+	late := rapid.Bool().Draw(s.rt, "late")
+	bytes := rapid.SampledFrom([]int64{0, 0, 0, 7_000, 60_000}).Draw(s.rt, "bytes")
 	for range limit {
-		reservation := n.take(w.clock(n), bytes)
+		reservation := e.take(s.clock(e), bytes)
 		if reservation == nil {
 			break
 		}
 		f := inFlightRequest{
-			sender: n, ledger: n.ledger, reservation: reservation, bytes: bytes,
-			arrives: w.now + delay, settles: w.now + delay,
+			sender: e, ledger: e.ledger, reservation: reservation, bytes: bytes,
+			arrives: s.now + delay, settles: s.now + delay,
 		}
 		if late {
-			f.settles = w.now + budget.DefaultTransit
+			f.settles = s.now + budget.DefaultTransit
 		}
-		w.inFlight = append(w.inFlight, f)
+		s.inFlight = append(s.inFlight, f)
 	}
-	w.advance(0)
+	s.advance(0)
 }
 
 // take reserves bytes on the link, or a unit of the rule when bytes is 0.
-func (n *node) take(now time.Time, bytes int64) *budget.Reservation {
+func (e *entry) take(now time.Time, bytes int64) *budget.Reservation {
 	if bytes == 0 {
-		return n.ledger.Take(now, ruleNames)
+		return e.ledger.Take(now, ruleNames)
 	}
-	return n.ledger.Admit(now, budget.Charge{Link: &budget.LinkID{From: "west", To: "east"}, Bytes: bytes})
+	return e.ledger.Admit(now, budget.Charge{Link: &budget.LinkID{From: "west", To: "east"}, Bytes: bytes})
 }
 
 // recordArrival counts a request that has arrived and checks the limits.
-func (w *simulation) recordArrival(f inFlightRequest) {
+func (s *simulation) recordArrival(f inFlightRequest) {
 	if f.bytes == 0 {
-		w.arrivals = append(w.arrivals, w.now)
-		w.check()
+		s.arrivals = append(s.arrivals, s.now)
+		s.check()
 		return
 	}
-	w.linkBytes = append(w.linkBytes, linkTransfer{w.now, f.bytes})
+	s.linkBytes = append(s.linkBytes, linkTransfer{s.now, f.bytes})
 	sum := int64(0)
-	for _, c := range w.linkBytes {
-		if c.at >= w.now-time.Second {
+	for _, c := range s.linkBytes {
+		if c.at >= s.now-time.Second {
 			sum += c.bytes
 		}
 	}
 	if sum > linkLimit {
-		w.rt.Fatalf("%d bytes in the second before %v, limit %d", sum, w.now, linkLimit)
+		s.rt.Fatalf("%d bytes in the second before %v, limit %d", sum, s.now, linkLimit)
 	}
 }
 
 // advance lets time pass, in which requests arrive and are settled.
-func (w *simulation) advance(d time.Duration) {
-	end := w.now + d
-	for at := w.now; at <= end; at += time.Millisecond {
-		w.now = at
-		left := w.inFlight[:0]
-		for _, f := range w.inFlight {
+func (s *simulation) advance(d time.Duration) {
+	end := s.now + d
+	for at := s.now; at <= end; at += time.Millisecond {
+		s.now = at
+		left := s.inFlight[:0]
+		for _, f := range s.inFlight {
 			if !f.arrived && f.arrives <= at {
 				f.arrived = true
-				w.recordArrival(f)
+				s.recordArrival(f)
 			}
 			if f.arrived && f.settles <= at {
-				f.ledger.Settle(w.clock(f.sender), f.reservation, f.bytes)
+				f.ledger.Settle(s.clock(f.sender), f.reservation, f.bytes)
 				continue
 			}
 			left = append(left, f)
 		}
-		w.inFlight = left
+		s.inFlight = left
 		if len(left) == 0 {
 			break
 		}
 	}
-	w.now = end
+	s.now = end
 }
 
 // check compares the arrivals in the window that ends now with the highest cap
 // that was in force at any entry when they were sent.
-func (w *simulation) check() {
-	begin := w.now - time.Second
+func (s *simulation) check() {
+	begin := s.now - time.Second
 	count := 0
-	for k := len(w.arrivals) - 1; k >= 0 && w.arrivals[k] >= begin; k-- {
+	for k := len(s.arrivals) - 1; k >= 0 && s.arrivals[k] >= begin; k-- {
 		count++
 	}
 	highest := 0
-	for _, c := range w.versions {
+	for _, c := range s.versions {
 		if c.to >= begin-budget.DefaultTransit {
-			highest = max(highest, w.documents[c.version-1].Rules[0].RequestsPerS)
+			highest = max(highest, s.documents[c.version-1].Rules[0].RequestsPerS)
 		}
 	}
 	if count > highest {
-		w.rt.Fatalf("%d requests in the second before %v, cap %d", count, w.now, highest)
+		s.rt.Fatalf("%d requests in the second before %v, cap %d", count, s.now, highest)
 	}
 }
 
-func (w *simulation) sendLoanRequests(i int) {
-	n := w.nodes[i]
-	for _, r := range n.ledger.LoanRequests(w.clock(n)) {
-		for k, other := range w.nodes {
+func (s *simulation) sendLoanRequests(i int) {
+	e := s.entries[i]
+	for _, r := range e.ledger.LoanRequests(s.clock(e)) {
+		for k, other := range s.entries {
 			if other.name == r.Lender {
-				w.messages = append(w.messages, message{to: k, request: &r, sentAt: w.clock(n), from: n.name})
+				s.messages = append(s.messages, message{to: k, request: &r, sentAt: s.clock(e), from: e.name})
 			}
 		}
 	}
 }
 
-func (w *simulation) deliver(k int, keep bool) {
-	m := w.messages[k]
+func (s *simulation) deliver(k int, keep bool) {
+	m := s.messages[k]
 	if !keep {
-		w.messages = append(w.messages[:k:k], w.messages[k+1:]...)
+		s.messages = append(s.messages[:k:k], s.messages[k+1:]...)
 	}
-	n := w.nodes[m.to]
+	e := s.entries[m.to]
 	switch {
 	case m.answer != nil:
-		n.ledger.RecordLoan(w.clock(n), *m.request, m.sentAt, *m.answer)
+		e.ledger.RecordLoan(s.clock(e), *m.request, m.sentAt, *m.answer)
 	case m.request != nil:
-		grant := n.ledger.Lend(w.clock(n), *m.request)
-		for back, other := range w.nodes {
+		grant := e.ledger.Lend(s.clock(e), *m.request)
+		for back, other := range s.entries {
 			if other.name == m.from {
-				w.messages = append(w.messages, message{to: back, request: m.request, answer: &grant, sentAt: m.sentAt})
+				s.messages = append(s.messages, message{to: back, request: m.request, answer: &grant, sentAt: m.sentAt})
 			}
 		}
 	default:
-		n.ledger.SetVersions(w.clock(n), map[string]uint64{m.from: m.version})
+		e.ledger.SetVersions(s.clock(e), map[string]uint64{m.from: m.version})
 	}
 }
 
 // sendVersion sends the version of entry i to every other entry.
-func (w *simulation) sendVersion(i int) {
-	for k := range w.nodes {
+func (s *simulation) sendVersion(i int) {
+	for k := range s.entries {
 		if k != i {
-			w.messages = append(w.messages, message{to: k, from: w.nodes[i].name, version: w.nodes[i].version})
+			s.messages = append(s.messages, message{to: k, from: s.entries[i].name, version: s.entries[i].version})
 		}
 	}
 }
@@ -260,63 +261,63 @@
 	return doc
 }
 
-func (w *simulation) change() {
-	cap := rapid.SampledFrom([]int{9, 30, 60}).Draw(w.rt, "cap")
+func (s *simulation) change() {
+	cap := rapid.SampledFrom([]int{9, 30, 60}).Draw(s.rt, "cap")
 	splits := [][]int{nil, {100, 0, 0}, {0, 100, 0}, {0, 0, 100}, {50, 50, 0}}
-	w.documents = append(w.documents, threeEntries(cap, rapid.SampledFrom(splits).Draw(w.rt, "split")))
+	s.documents = append(s.documents, threeEntries(cap, rapid.SampledFrom(splits).Draw(s.rt, "split")))
 }
 
 // convergeFor delivers all messages and lets time pass, so that shares become
 // usable.
-func (w *simulation) convergeFor(seconds int) {
+func (s *simulation) convergeFor(seconds int) {
 	for range seconds {
-		for i := range w.nodes {
-			w.adopt(i)
-			w.sendVersion(i)
+		for i := range s.entries {
+			s.adopt(i)
+			s.sendVersion(i)
 		}
-		for len(w.messages) > 0 {
-			w.deliver(0, false)
+		for len(s.messages) > 0 {
+			s.deliver(0, false)
 		}
-		w.advance(time.Second)
+		s.advance(time.Second)
 	}
 }
 
-func (w *simulation) step() {
-	i := rapid.IntRange(0, len(w.nodes)-1).Draw(w.rt, "entry")
+func (s *simulation) step() {
+	i := rapid.IntRange(0, len(s.entries)-1).Draw(s.rt, "entry")
 	switch rapid.SampledFrom([]string{
 		"burst", "burst", "burst", "trickle", "request loans", "request loans", "deliver", "deliver", "deliver", "deliver", "deliver twice",
 		"drop messages", "wait", "wait", "wait", "restart", "change document", "adopt document", "send version", "converge",
-	}).Draw(w.rt, "step") {
+	}).Draw(s.rt, "step") {
 	case "burst":
-		w.burst(i, 100)
+		s.burst(i, 100)
 	case "trickle":
-		w.burst(i, rapid.IntRange(1, 12).Draw(w.rt, "requests"))
+		s.burst(i, rapid.IntRange(1, 12).Draw(s.rt, "requests"))
 	case "request loans":
-		w.sendLoanRequests(i)
+		s.sendLoanRequests(i)
 	case "deliver":
-		for range min(3, len(w.messages)) {
-			w.deliver(rapid.IntRange(0, len(w.messages)-1).Draw(w.rt, "mail"), false)
+		for range min(3, len(s.messages)) {
+			s.deliver(rapid.IntRange(0, len(s.messages)-1).Draw(s.rt, "mail"), false)
 		}
 	case "deliver twice":
-		if len(w.messages) > 0 {
-			w.deliver(len(w.messages)-1, true)
+		if len(s.messages) > 0 {
+			s.deliver(len(s.messages)-1, true)
 		}
 	case "drop messages":
-		w.messages = nil
+		s.messages = nil
 	case "wait":
-		ms := rapid.SampledFrom([]int{1, 10, 50, 200, 500, 800, 1000, 2900, 5000}).Draw(w.rt, "ms")
-		w.advance(time.Duration(ms) * time.Millisecond)
+		ms := rapid.SampledFrom([]int{1, 10, 50, 200, 500, 800, 1000, 2900, 5000}).Draw(s.rt, "ms")
+		s.advance(time.Duration(ms) * time.Millisecond)
 	case "restart":
-		w.restart(i)
-		w.adopt(i)
+		s.restart(i)
+		s.adopt(i)
 	case "change document":
-		w.change()
+		s.change()
 	case "adopt document":
-		w.adopt(i)
+		s.adopt(i)
 	case "send version":
-		w.sendVersion(i)
+		s.sendVersion(i)
 	case "converge":
-		w.convergeFor(rapid.IntRange(1, 8).Draw(w.rt, "seconds"))
+		s.convergeFor(rapid.IntRange(1, 8).Draw(s.rt, "seconds"))
 	}
 }
 
@@ -327,21 +328,21 @@
 func TestCapHoldsInEveryWindow(t *testing.T) {
 	admitted, transfers := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &simulation{rt: rt, documents: []*document.Document{threeEntries(30, nil)}}
+		s := &simulation{rt: rt, documents: []*document.Document{threeEntries(30, nil)}}
 		for k := range 3 {
-			w.nodes = append(w.nodes, &node{
+			s.entries = append(s.entries, &entry{
 				name:   fmt.Sprintf("e%d", k+1),
 				offset: time.Duration(k) * time.Hour,
 				ppm:    int64(rapid.SampledFrom([]int{-1000, 0, 1000}).Draw(rt, "ppm")),
 			})
-			w.restart(k)
+			s.restart(k)
 		}
-		w.convergeFor(8)
+		s.convergeFor(8)
 		for range rapid.IntRange(20, 120).Draw(rt, "steps") {
-			w.step()
+			s.step()
 		}
-		admitted += len(w.arrivals)
-		transfers += len(w.linkBytes)
+		admitted += len(s.arrivals)
+		transfers += len(s.linkBytes)
 	})
 	t.Logf("%d requests and %d link transfers admitted", admitted, transfers)
 }
--- a/internal/core/quarantine/schedule_test.go
+++ b/internal/core/quarantine/schedule_test.go
@@ -49,56 +49,55 @@
 	lastRequested time.Time
 }
 
-// step advances the time, in which endpoints crash and their deaths are
-// detected.
-func (f *simulation) step(d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); {
-		f.now = f.now.Add(100 * time.Millisecond)
-		for _, j := range f.runs {
-			if !j.crash.IsZero() && !f.now.Before(j.crash) && f.numbers[j.endpoint] == j.number {
-				f.deaths++
-				f.crashEndpoint(j.endpoint)
+// step lets time d pass, in which endpoints crash and their deaths are detected.
+func (s *simulation) step(d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.now = s.now.Add(100 * time.Millisecond)
+		for _, r := range s.runs {
+			if !r.crash.IsZero() && !s.now.Before(r.crash) && s.numbers[r.endpoint] == r.number {
+				s.deaths++
+				s.crashEndpoint(r.endpoint)
 			}
 		}
-		for _, j := range f.pendingDeaths[f.now] {
-			f.RecordDeath(f.now, j.endpoint, j.number)
+		for _, r := range s.pendingDeaths[s.now] {
+			s.RecordDeath(s.now, r.endpoint, r.number)
 		}
 	}
-	f.Expire(f.now)
+	s.Expire(s.now)
 }
 
 // crashEndpoint ends an endpoint incarnation and resets the runs on it.
-func (f *simulation) crashEndpoint(endpoint string) {
-	for _, j := range f.runs {
-		if j.endpoint == endpoint && j.number == f.numbers[endpoint] && !j.ended {
-			f.end(j, quarantine.Reset)
+func (s *simulation) crashEndpoint(endpoint string) {
+	for _, r := range s.runs {
+		if r.endpoint == endpoint && r.number == s.numbers[endpoint] && !r.ended {
+			s.end(r, quarantine.Reset)
 		}
 	}
-	due := f.now.Add(noticeDelay)
-	f.pendingDeaths[due] = append(f.pendingDeaths[due], &testRun{endpoint: endpoint, number: f.numbers[endpoint]})
-	f.numbers[endpoint]++
+	due := s.now.Add(noticeDelay)
+	s.pendingDeaths[due] = append(s.pendingDeaths[due], &testRun{endpoint: endpoint, number: s.numbers[endpoint]})
+	s.numbers[endpoint]++
 }
 
-func (f *simulation) end(j *testRun, end quarantine.End) {
-	j.ended = true
-	f.EndRun(f.now, j.endpoint, j.number, j.fp, end)
+func (s *simulation) end(r *testRun, end quarantine.End) {
+	r.ended = true
+	s.EndRun(s.now, r.endpoint, r.number, r.fp, end)
 }
 
-func (f *simulation) request(fp fingerprint.Fingerprint, endpoint string, poisonous bool) {
+func (s *simulation) request(fp fingerprint.Fingerprint, endpoint string, poisonous bool) {
 	if poisonous {
-		if f.now.Sub(f.lastRequested) >= f.hold {
-			f.deaths = 0
+		if s.now.Sub(s.lastRequested) >= s.hold {
+			s.deaths = 0
 		}
-		f.lastRequested = f.now
+		s.lastRequested = s.now
 	}
-	if f.StartRun(f.now, endpoint, f.numbers[endpoint], fp, "s") != quarantine.Admitted {
+	if s.StartRun(s.now, endpoint, s.numbers[endpoint], fp, "s") != quarantine.Admitted {
 		return
 	}
-	j := &testRun{fp: fp, endpoint: endpoint, number: f.numbers[endpoint]}
+	r := &testRun{fp: fp, endpoint: endpoint, number: s.numbers[endpoint]}
 	if poisonous {
-		j.crash = f.now.Add(crashDelay)
+		r.crash = s.now.Add(crashDelay)
 	}
-	f.runs = append(f.runs, j)
+	s.runs = append(s.runs, r)
 }
 
 // TestAtMostTwoDeaths resends a request that crashes each endpoint, among
@@ -108,13 +107,13 @@
 	cfg := cfg
 	cfg.Hold = 15 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		f := &simulation{Table: quarantine.NewTable(cfg), hold: cfg.Hold, now: epoch, numbers: map[string]uint64{}, pendingDeaths: map[time.Time][]*testRun{}}
+		s := &simulation{Table: quarantine.NewTable(cfg), hold: cfg.Hold, now: epoch, numbers: map[string]uint64{}, pendingDeaths: map[time.Time][]*testRun{}}
 		endpoint := func() string { return fmt.Sprint("w", rapid.IntRange(0, 4).Draw(t, "endpoint")) }
 		open := func() *testRun {
 			var all []*testRun
-			for _, j := range f.runs {
-				if !j.ended {
-					all = append(all, j)
+			for _, r := range s.runs {
+				if !r.ended {
+					all = append(all, r)
 				}
 			}
 			if len(all) == 0 {
@@ -124,27 +123,27 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				if f.deaths > 2 {
-					t.Fatalf("%d endpoints died of one request", f.deaths)
+				if s.deaths > 2 {
+					t.Fatalf("%d endpoints died of one request", s.deaths)
 				}
 			},
-			"ask for the poison":       func(*rapid.T) { f.request(poison, endpoint(), true) },
-			"ask for the poison again": func(*rapid.T) { f.request(poison, endpoint(), true) },
-			"ask for another":          func(*rapid.T) { f.request(second, endpoint(), false) },
+			"ask for the poison":       func(*rapid.T) { s.request(poison, endpoint(), true) },
+			"ask for the poison again": func(*rapid.T) { s.request(poison, endpoint(), true) },
+			"ask for another":          func(*rapid.T) { s.request(second, endpoint(), false) },
 			"answer": func(*rapid.T) {
-				if j := open(); j.crash.IsZero() && f.numbers[j.endpoint] == j.number {
-					f.end(j, quarantine.Answered)
+				if r := open(); r.crash.IsZero() && s.numbers[r.endpoint] == r.number {
+					s.end(r, quarantine.Answered)
 				}
 			},
-			"give up": func(*rapid.T) { f.end(open(), quarantine.Abandoned) },
-			"pass":    func(*rapid.T) { f.step(time.Duration(rapid.IntRange(1, 80).Draw(t, "ticks")) * 100 * time.Millisecond) },
+			"give up": func(*rapid.T) { s.end(open(), quarantine.Abandoned) },
+			"pass":    func(*rapid.T) { s.step(time.Duration(rapid.IntRange(1, 80).Draw(t, "ticks")) * 100 * time.Millisecond) },
 			"pass the quarantine but for a second": func(*rapid.T) {
-				f.step(cfg.Hold - time.Second)
-				f.request(poison, endpoint(), true)
+				s.step(cfg.Hold - time.Second)
+				s.request(poison, endpoint(), true)
 			},
 			"another cause": func(*rapid.T) {
-				if f.otherCrashes++; f.otherCrashes <= cfg.CorrelatedDeaths-1 {
-					f.crashEndpoint(endpoint())
+				if s.otherCrashes++; s.otherCrashes <= cfg.CorrelatedDeaths-1 {
+					s.crashEndpoint(endpoint())
 				}
 			},
 		})
@@ -263,7 +262,7 @@
 	}
 }
 
-func BenchmarkStartedEnded(b *testing.B) {
+func BenchmarkStartEndRun(b *testing.B) {
 	table := quarantine.NewTable(cfg)
 	all := make([]fingerprint.Fingerprint, 1000)
 	for n := range all {
