--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -97,11 +97,11 @@
 func TestComparisonSummary(t *testing.T) {
 	ours := Outcome{P50: 2, P99: 9, InTime: 0.9, Headroom: []float64{0.2, 0.1}, Drain: time.Second}
 	other := Outcome{Policy: "x", P50: 3, P99: 9, InTime: 0.9, Headroom: []float64{0, 0.5}, Drain: -1, CapUse: 2}
-	faster, spacious, sure, quick := other, other, other, other
-	faster.P50 = 1
-	spacious.Headroom = []float64{0.15, 0.15}
-	sure.InTime = 0.95
-	quick.Drain = time.Millisecond
+	lowLatency, moreHeadroom, moreInTime, quickDrain := other, other, other, other
+	lowLatency.P50 = 1
+	moreHeadroom.Headroom = []float64{0.15, 0.15}
+	moreInTime.InTime = 0.95
+	quickDrain.Drain = time.Millisecond
 	cases := []struct {
 		name  string
 		op    Operation
@@ -109,12 +109,12 @@
 		want  string
 	}{
 		{"ahead", Hanbit(), other, "ahead."},
-		{"latency", Hanbit(), faster, "p50"},
-		{"latency doesn't rank", Calibra(), faster, "ahead."},
-		{"headroom", Calibra(), spacious, "lowest headroom"},
-		{"headroom doesn't rank", Hanbit(), spacious, "ahead."},
-		{"in time", Hanbit(), sure, "in time 90.00% against 95.00% of x, which moved 2.0 times a cap"},
-		{"drain", Calibra(), quick, "drain time (s) 1.00 against 0.00 of x"},
+		{"latency", Hanbit(), lowLatency, "p50"},
+		{"latency doesn't rank", Calibra(), lowLatency, "ahead."},
+		{"headroom", Calibra(), moreHeadroom, "lowest headroom"},
+		{"headroom doesn't rank", Hanbit(), moreHeadroom, "ahead."},
+		{"in time", Hanbit(), moreInTime, "in time 90.00% against 95.00% of x, which moved 2.0 times a cap"},
+		{"drain", Calibra(), quickDrain, "drain time (s) 1.00 against 0.00 of x"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/measure/record.go
+++ b/internal/measure/record.go
@@ -111,7 +111,7 @@
 func (r *record) recordMove(service, from, to int) {
 	w := r.w
 	m := r.moves[ruleName(w.op.services[service].name, w.names[from], w.names[to])]
-	at := int(w.now / slot)
+	at := int(w.now / bucketWidth)
 	for len(m.buckets) <= at {
 		m.buckets = append(m.buckets, 0)
 	}
@@ -125,8 +125,8 @@
 		sum := 0
 		for i, n := range m.buckets {
 			sum += n
-			if i >= slotsPerSecond {
-				sum -= m.buckets[i-slotsPerSecond]
+			if i >= bucketsPerSecond {
+				sum -= m.buckets[i-bucketsPerSecond]
 			}
 			most = max(most, float64(sum)/float64(m.limit))
 		}
--- a/internal/measure/shares.go
+++ b/internal/measure/shares.go
@@ -61,8 +61,7 @@
 }
 
 // UsableShare returns the admitted requests as a fraction of what the cap and the
-// demand allow. A request holds its units of the cap as in flight until arrival
-// has passed.
+// demand allow. The reservation of an admitted request is settled after arrival.
 func UsableShare(c ShareCase, arrival time.Duration) float64 {
 	s := newShareRun(c, arrival)
 	for at := shareStart; at < shareEnd; at += time.Millisecond {
@@ -129,7 +128,7 @@
 	}
 }
 
-// arrive settles the holds of requests that have arrived.
+// arrive settles the reservations of requests that have arrived.
 func (s *shareRun) arrive(at time.Duration) {
 	for len(s.sent) > 0 && s.sent[0].arrives <= at {
 		s.sent[0].ledger.Settle(clockAt(at), s.sent[0].reservation, 0)
--- a/internal/measure/steered.go
+++ b/internal/measure/steered.go
@@ -229,7 +229,7 @@
 }
 
 // take takes the request from the windows of all rules and links that the choice
-// crosses, or from none of them if one has no room.
+// crosses, or from none of them if it doesn't fit into one.
 func (s *steered) take(r *request, choice steering.Choice) bool {
 	now := s.w.now
 	bytes := s.w.op.services[r.service].answer
--- a/internal/measure/window.go
+++ b/internal/measure/window.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// slot is the resolution of a window.
-	slot = 10 * time.Millisecond
-	// slotsPerSecond is the number of slots in a second.
-	slotsPerSecond = int(time.Second / slot)
-	// slotsPerWindow covers a second and the slot in which it begins.
-	slotsPerWindow = slotsPerSecond + 1
+	// bucketWidth is the resolution of a window.
+	bucketWidth = 10 * time.Millisecond
+	// bucketsPerSecond is the number of buckets in a second.
+	bucketsPerSecond = int(time.Second / bucketWidth)
+	// bucketsPerWindow covers a second and the bucket in which it begins.
+	bucketsPerWindow = bucketsPerSecond + 1
 	// idleShift is the time without use after which a shift ramps up again.
 	idleShift = 10 * time.Second
 	// rampFloor is the fraction of a cap at which a ramp begins.
@@ -20,9 +20,9 @@
 type window struct {
 	limit   int
 	ramp    time.Duration
-	used    [slotsPerWindow]int
+	used    [bucketsPerWindow]int
 	sum     int
-	at      int64 // number of the newest slot
+	at      int64 // number of the newest bucket
 	started time.Duration
 	last    time.Duration
 	active  bool
@@ -46,21 +46,21 @@
 // take counts units as used now.
 func (w *window) take(now time.Duration, units int) {
 	w.advance(now)
-	w.used[w.at%int64(slotsPerWindow)] += units
+	w.used[w.at%int64(bucketsPerWindow)] += units
 	w.sum += units
 	w.last = now
 }
 
 func (w *window) advance(now time.Duration) {
-	target := int64(now / slot)
-	if target-w.at >= int64(slotsPerWindow) {
-		w.used = [slotsPerWindow]int{}
+	target := int64(now / bucketWidth)
+	if target-w.at >= int64(bucketsPerWindow) {
+		w.used = [bucketsPerWindow]int{}
 		w.sum = 0
 		w.at = target
 	}
 	for w.at < target {
 		w.at++
-		w.sum -= w.used[w.at%int64(slotsPerWindow)]
-		w.used[w.at%int64(slotsPerWindow)] = 0
+		w.sum -= w.used[w.at%int64(bucketsPerWindow)]
+		w.used[w.at%int64(bucketsPerWindow)] = 0
 	}
 }
--- a/internal/measure/world.go
+++ b/internal/measure/world.go
@@ -50,8 +50,8 @@
 	announce(e *endpoint, a admission.Announcement)
 	// queued returns the number of requests in a place's admission queues.
 	queued(place int) int
-	// placeFailed and back report that the entries of a place failed
-	// or restarted.
+	// placeFailed and placeRestored report that the entries of a place failed or
+	// restarted.
 	placeFailed(place int)
 	placeRestored(place int)
 	// reconfigure puts a changed document into force.
--- a/internal/port/porttest/store.go
+++ b/internal/port/porttest/store.go
@@ -77,7 +77,7 @@
 	return outcome, nil
 }
 
-// decide applies a change and records its outcome. Must hold mu.
+// decide applies a change and records its outcome. The caller must hold mu.
 func (s *Store) decide(change port.Change) port.Outcome {
 	outcome := port.Outcome{ChangeID: change.ID, State: port.ChangeConflict}
 	from := s.current.Version
--- a/internal/systemtest/config_test.go
+++ b/internal/systemtest/config_test.go
@@ -90,7 +90,7 @@
 // put sends a document to a control VM without the client and returns the HTTP
 // status code.
 func (s *system) put(base uint64, changeID, text string) int {
-	target := fmt.Sprintf("%s/v1/document?base=%d", s.control(1), base)
+	target := fmt.Sprintf("%s/v1/document?base=%d", s.controlURL(1), base)
 	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodPut, target, strings.NewReader(text))
 	if err != nil {
 		s.t.Fatal(err)
--- a/internal/systemtest/fault_test.go
+++ b/internal/systemtest/fault_test.go
@@ -13,8 +13,8 @@
 	"sassafrasreach/internal/core/document"
 )
 
-// control returns the URL at which one control VM serves operators.
-func (s *system) control(n int) string { return "http://" + s.ip(kindControl, n) + ":18090" }
+// controlURL returns the URL at which one control VM serves operators.
+func (s *system) controlURL(n int) string { return "http://" + s.ip(kindControl, n) + ":18090" }
 
 // submit applies a variant of the document at one control VM and waits until the
 // change is decided. It returns the client's exit code and output.
@@ -30,7 +30,7 @@
 		"apply", "-wait=false", "-timeout", "3s",
 		"-base", strconv.FormatUint(base, 10), "-change-id", changeID,
 	}
-	return s.ctlAt(s.control(n), append(append(args, flags...), path)...)
+	return s.ctlAt(s.controlURL(n), append(append(args, flags...), path)...)
 }
 
 // watchVersions polls the document versions in the entries' look-up answers and
@@ -120,7 +120,7 @@
 	s.awaitInForce(base+5, s.allEntries())
 	s.mesh.heal()
 	s.eventually("the isolated control VM has the newest version", func() bool {
-		code, out := s.ctlAt(s.control(1), "get")
+		code, out := s.ctlAt(s.controlURL(1), "get")
 		return code == 0 && strings.Contains(out, "others4")
 	})
 	code, _ = s.submit(1, base, "isolated", "isolated")
--- a/internal/systemtest/flow_test.go
+++ b/internal/systemtest/flow_test.go
@@ -85,7 +85,7 @@
 		t: s.t, runs: s.runs, service: service, place: place,
 		id:      fmt.Sprintf("%s-worker-%d", place, n),
 		listen:  s.ip(kindEndpoint+i, n) + ":17000",
-		front:   s.ip(kindFrontWorker+i, n) + ":17000",
+		front:   s.ip(kindFrontEndpoint+i, n) + ":17000",
 		entries: append(s.entriesOf(place), s.entriesOf("north-b")...),
 		slots:   model.slots,
 		work:    model.work,
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -94,12 +94,12 @@
 // The third byte of an IP tells the kind of address. Addresses of the kinds
 // named Front belong to the mesh, which relays them to the real address.
 const (
-	kindControl      = 1
-	kindEntry        = 10  // plus the index of the place
-	kindEndpoint     = 40  // plus the index of the place
-	kindFrontEntry   = 110 // plus the index of the place
-	kindFrontWorker  = 140 // plus the index of the place
-	kindFrontControl = 200 // plus the dialing control VM; 0 for entries
+	kindControl       = 1
+	kindEntry         = 10  // plus the index of the place
+	kindEndpoint      = 40  // plus the index of the place
+	kindFrontEntry    = 110 // plus the index of the place
+	kindFrontEndpoint = 140 // plus the index of the place
+	kindFrontControl  = 200 // plus the dialing control VM; 0 for entries
 )
 
 // newSystem starts all processes and endpoints, and waits until requests are
@@ -278,7 +278,7 @@
 			t: s.t, runs: s.runs, service: service, place: place.Name,
 			id:     fmt.Sprintf("%s-worker-%d", place.Name, n),
 			listen: s.ip(kindEndpoint+i, n) + ":17000",
-			front:  s.ip(kindFrontWorker+i, n) + ":17000",
+			front:  s.ip(kindFrontEndpoint+i, n) + ":17000",
 			slots:  s.layout.slots,
 			work:   s.layout.work,
 		}
--- a/internal/testlink/link_test.go
+++ b/internal/testlink/link_test.go
@@ -55,8 +55,9 @@
 	return string(buf[:n+rest]), err
 }
 
-// TestFaults guards against a Link that doesn't simulate the requested fault. For each fault it checks the bytes and the error on an established connection
-// and the bytes on a connection opened afterwards.
+// TestFaults guards against a Link that doesn't simulate the requested fault. For
+// each fault it checks the bytes and the error on an established connection, and the
+// bytes on a connection opened afterwards.
 func TestFaults(t *testing.T) {
 	cases := []struct {
 		name   string
