--- a/internal/adapter/peergrpc/client.go
+++ b/internal/adapter/peergrpc/client.go
@@ -71,12 +71,12 @@
 	})
 }
 
-// FetchDocument requests the peer's document. The argument have is the version
-// that the caller already has.
-func (c *Client) FetchDocument(ctx context.Context, address string, have uint64) (port.Config, error) {
+// FetchDocument requests the peer's document. The argument currentVersion is the
+// version that the caller already has.
+func (c *Client) FetchDocument(ctx context.Context, address string, currentVersion uint64) (port.Config, error) {
 	var config port.Config
 	err := c.call(ctx, address, func(peer peerv1.PeerServiceClient) error {
-		response, err := peer.FetchDocument(ctx, &peerv1.FetchDocumentRequest{HaveVersion: have})
+		response, err := peer.FetchDocument(ctx, &peerv1.FetchDocumentRequest{HaveVersion: currentVersion})
 		if err == nil {
 			config = port.Config{
 				Version:  response.GetVersion(),
--- a/internal/adapter/peergrpc/peer_test.go
+++ b/internal/adapter/peergrpc/peer_test.go
@@ -38,8 +38,8 @@
 	return p.forward(ctx, f)
 }
 func (p *fakePeer) HandleAnnounce(batch []port.Announcement) { p.announced = batch }
-func (p *fakePeer) HandleFetchDocument(have uint64) port.Config {
-	return port.Config{Version: have + 1, Digest: "d", Document: []byte("text")}
+func (p *fakePeer) HandleFetchDocument(currentVersion uint64) port.Config {
+	return port.Config{Version: currentVersion + 1, Digest: "d", Document: []byte("text")}
 }
 func (p *fakePeer) HandleHandOver(h claims.HandOver) { p.handed = h }
 func (p *fakePeer) HandleQuarantine(rows []port.QuarantineRow) []port.QuarantineRow {
--- a/internal/app/entry/cluster_test.go
+++ b/internal/app/entry/cluster_test.go
@@ -256,14 +256,14 @@
 	return err
 }
 
-func (tc *testCluster) FetchDocument(_ context.Context, address string, have uint64) (port.Config, error) {
+func (tc *testCluster) FetchDocument(_ context.Context, address string, currentVersion uint64) (port.Config, error) {
 	tc.mu.Lock()
 	config, ok := tc.documents[address]
 	tc.mu.Unlock()
 	if ok {
 		return config, nil
 	}
-	return at(tc, address, func(e *Entry) port.Config { return e.HandleFetchDocument(have) })
+	return at(tc, address, func(e *Entry) port.Config { return e.HandleFetchDocument(currentVersion) })
 }
 
 func (tc *testCluster) HandOver(_ context.Context, address string, h claims.HandOver) error {
--- a/internal/app/entry/ledger.go
+++ b/internal/app/entry/ledger.go
@@ -65,19 +65,19 @@
 	l.table.Release(r)
 }
 
-func (l *ledger) loanRequests(now time.Time) []budget.BorrowRequest {
+func (l *ledger) loanRequests(now time.Time) []budget.LoanRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.LoanRequests(now)
 }
 
-func (l *ledger) lend(now time.Time, r budget.BorrowRequest) budget.Grant {
+func (l *ledger) lend(now time.Time, r budget.LoanRequest) budget.Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Lend(now, r)
 }
 
-func (l *ledger) recordLoan(now time.Time, r budget.BorrowRequest, sentAt time.Time, g budget.Grant) {
+func (l *ledger) recordLoan(now time.Time, r budget.LoanRequest, sentAt time.Time, g budget.Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table.RecordLoan(now, r, sentAt, g)
@@ -114,7 +114,7 @@
 	return versions
 }
 
-func (e *Entry) borrow(ctx context.Context, request budget.BorrowRequest) {
+func (e *Entry) borrow(ctx context.Context, request budget.LoanRequest) {
 	address, ok := e.snapshot.Load().entries[request.Lender]
 	if !ok {
 		return
@@ -136,7 +136,7 @@
 
 // HandleBorrow implements port.PeerHandler.
 func (e *Entry) HandleBorrow(r port.LoanRequest) port.LoanGrant {
-	grant := e.ledger.lend(e.clock.Now(), budget.BorrowRequest{
+	grant := e.ledger.lend(e.clock.Now(), budget.LoanRequest{
 		Bucket:              r.Bucket,
 		Lender:              e.config.Name,
 		Borrower:            r.Borrower,
--- a/internal/app/entry/pull.go
+++ b/internal/app/entry/pull.go
@@ -79,10 +79,10 @@
 	}
 }
 
-func (e *Entry) fetchFromPeer(ctx context.Context, address string, have uint64) (port.Config, error) {
+func (e *Entry) fetchFromPeer(ctx context.Context, address string, currentVersion uint64) (port.Config, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	return e.peers.FetchDocument(ctx, address, have)
+	return e.peers.FetchDocument(ctx, address, currentVersion)
 }
 
 // pullFromControl queries one control VM, and the next ones until an answer is
@@ -223,9 +223,9 @@
 }
 
 // HandleFetchDocument implements port.PeerHandler.
-func (e *Entry) HandleFetchDocument(have uint64) port.Config {
+func (e *Entry) HandleFetchDocument(currentVersion uint64) port.Config {
 	s := e.snapshot.Load()
-	if s == nil || s.config.Version <= have {
+	if s == nil || s.config.Version <= currentVersion {
 		return port.Config{}
 	}
 	return s.config
--- a/internal/core/admission/group.go
+++ b/internal/core/admission/group.go
@@ -77,9 +77,9 @@
 	Queued int
 	// Latency is the median latency of recent requests; 0 without any.
 	Latency time.Duration
-	// ReportsStale is true while more than half of the endpoints are late
+	// AnnouncementsStale is true while more than half of the endpoints are late
 	// with their announcements, so that the last list of endpoints is kept.
-	ReportsStale bool
+	AnnouncementsStale bool
 }
 
 // inFlightRequest is a granted request that has not ended.
@@ -102,7 +102,7 @@
 	firstAnnounced     time.Time // time of the first announcement
 	lastTick           time.Time
 	lastTombstoneCheck time.Time
-	reportsStale       bool
+	announcementsStale bool
 	scratch            []float64
 }
 
@@ -189,9 +189,9 @@
 // Stats returns the group's present figures.
 func (g *Group) Stats(_ time.Time) Stats {
 	s := Stats{
-		Queued:       g.local.len() + g.spilled.len(),
-		Latency:      g.latency.Quantile(0.5),
-		ReportsStale: g.reportsStale,
+		Queued:             g.local.len() + g.spilled.len(),
+		Latency:            g.latency.Quantile(0.5),
+		AnnouncementsStale: g.announcementsStale,
 	}
 	for _, e := range g.endpoints {
 		s.Busy += e.inFlight
--- a/internal/core/admission/liveness.go
+++ b/internal/core/admission/liveness.go
@@ -54,13 +54,13 @@
 			late++
 		}
 	}
-	g.reportsStale = 2*late > len(g.endpoints)
+	g.announcementsStale = 2*late > len(g.endpoints)
 	for i := len(g.endpoints) - 1; i >= 0; i-- {
 		e := g.endpoints[i]
 		if now.Sub(e.lastAnnounced) <= g.cfg.UnresponsiveAfter {
 			continue
 		}
-		if g.reportsStale && e.failures < maxConsecutiveFailures {
+		if g.announcementsStale && e.failures < maxConsecutiveFailures {
 			continue
 		}
 		g.retire(now, e)
--- a/internal/core/budget/loans.go
+++ b/internal/core/budget/loans.go
@@ -22,12 +22,12 @@
 
 // LoanRequests returns the loan requests that this entry should send now. It is
 // called a few times a second; the answers are passed to RecordLoan.
-func (l *Ledger) LoanRequests(now time.Time) []BorrowRequest {
+func (l *Ledger) LoanRequests(now time.Time) []LoanRequest {
 	now = l.monotonic(now)
 	if now.Before(l.usableFrom) {
 		return nil
 	}
-	var requests []BorrowRequest
+	var requests []LoanRequest
 	for _, name := range slices.Sorted(maps.Keys(l.buckets)) {
 		requests = append(requests, l.loanRequests(now, l.buckets[name])...)
 	}
@@ -37,7 +37,7 @@
 // loanRequests requests what the entry lacks for the demand of the last window:
 // first it renews the loans that end soon, then it tries new lenders in
 // round-robin order.
-func (l *Ledger) loanRequests(now time.Time, b *bucket) []BorrowRequest {
+func (l *Ledger) loanRequests(now time.Time, b *bucket) []LoanRequest {
 	demand := b.demand.used(now)
 	if demand*percent <= l.ownUsable(now, b)*borrowThresholdPercent {
 		return nil
@@ -47,7 +47,7 @@
 		targetPercent = followUpRequestPercent
 	}
 	missing := demand*targetPercent/percent - l.ownUsable(now, b)
-	var requests []BorrowRequest
+	var requests []LoanRequest
 	for _, lender := range slices.Sorted(maps.Keys(b.borrowed)) {
 		units, _ := largestLoan(now, slices.Clone(b.borrowed[lender]))
 		if units == 0 || missing <= 0 {
@@ -84,8 +84,8 @@
 	return true
 }
 
-func (l *Ledger) newRequest(b *bucket, lender string, units int64) BorrowRequest {
-	return BorrowRequest{
+func (l *Ledger) newRequest(b *bucket, lender string, units int64) LoanRequest {
+	return LoanRequest{
 		Bucket:              b.name,
 		Lender:              lender,
 		Borrower:            l.self.Entry,
@@ -127,7 +127,7 @@
 // Lend answers another entry's loan request. The granted units are taken from
 // this entry's share at once. They have been unused for a whole window, unless
 // the borrower has them on loan already.
-func (l *Ledger) Lend(now time.Time, r BorrowRequest) Grant {
+func (l *Ledger) Lend(now time.Time, r LoanRequest) Grant {
 	now = l.monotonic(now)
 	l.raiseLimits(now)
 	b, ok := l.buckets[r.Bucket]
@@ -162,7 +162,7 @@
 
 // RecordLoan records the answer to a request that was sent at sentAt. A loan
 // requested before the bucket's split changed is ignored.
-func (l *Ledger) RecordLoan(now time.Time, r BorrowRequest, sentAt time.Time, g Grant) {
+func (l *Ledger) RecordLoan(now time.Time, r LoanRequest, sentAt time.Time, g Grant) {
 	now = l.monotonic(now)
 	b, ok := l.buckets[r.Bucket]
 	if !ok || r.BorrowerIncarnation != l.self.Incarnation || r.DocumentVersion < b.current.version {
--- a/internal/core/budget/loans_test.go
+++ b/internal/core/budget/loans_test.go
@@ -79,8 +79,8 @@
 }
 
 // borrow lets e1 borrow units from e2 and returns the request and its answer.
-func borrow(one, two *budget.Ledger, now time.Time, units int64) (budget.BorrowRequest, budget.Grant) {
-	r := budget.BorrowRequest{
+func borrow(one, two *budget.Ledger, now time.Time, units int64) (budget.LoanRequest, budget.Grant) {
+	r := budget.LoanRequest{
 		Bucket: "rule:r", Lender: "e2", Borrower: "e1", BorrowerIncarnation: 1,
 		Units: units, Term: 3 * time.Second, DocumentVersion: 1,
 	}
--- a/internal/core/budget/property_test.go
+++ b/internal/core/budget/property_test.go
@@ -68,7 +68,7 @@
 // version.
 type message struct {
 	to      int
-	request *budget.BorrowRequest
+	request *budget.LoanRequest
 	answer  *budget.Grant
 	sentAt  time.Time
 	from    string
--- a/internal/core/budget/types.go
+++ b/internal/core/budget/types.go
@@ -113,8 +113,8 @@
 	AnswerBytes int64
 }
 
-// BorrowRequest requests the loan of an unused part of another entry's share.
-type BorrowRequest struct {
+// LoanRequest requests the loan of an unused part of another entry's share.
+type LoanRequest struct {
 	// Bucket is the name of the cap's bucket.
 	Bucket string
 	// Lender is the entry that the request is sent to.
@@ -132,7 +132,7 @@
 	DocumentVersion uint64
 }
 
-// Grant answers a BorrowRequest; zero Units means a refusal.
+// Grant answers a LoanRequest; zero Units means a refusal.
 type Grant struct {
 	// Units is the total amount on loan.
 	Units int64
--- a/internal/port/peer.go
+++ b/internal/port/peer.go
@@ -68,7 +68,7 @@
 	Heartbeat(ctx context.Context, address string, hb membership.Heartbeat) (membership.Heartbeat, error)
 	Forward(ctx context.Context, address string, f Forward) (*Response, error)
 	Announce(ctx context.Context, address string, batch []Announcement) error
-	FetchDocument(ctx context.Context, address string, have uint64) (Config, error)
+	FetchDocument(ctx context.Context, address string, currentVersion uint64) (Config, error)
 	HandOver(ctx context.Context, address string, h claims.HandOver) error
 	// Quarantine sends rows to a peer. Without rows it requests the peer's
 	// rows.
@@ -81,7 +81,7 @@
 	HandleHeartbeat(hb membership.Heartbeat) membership.Heartbeat
 	HandleForward(ctx context.Context, f Forward) (*Response, error)
 	HandleAnnounce(batch []Announcement)
-	HandleFetchDocument(have uint64) Config
+	HandleFetchDocument(currentVersion uint64) Config
 	HandleHandOver(h claims.HandOver)
 	HandleQuarantine(rows []QuarantineRow) []QuarantineRow
 	HandleBorrow(r LoanRequest) LoanGrant
